--- /dev/null
+++ b/crates/dyketally-gateway/src/context/clock.rs
@@ -0,0 +1,29 @@
+//! The process's monotonic clock.
+
+use dyketally::time::Timestamp;
+use tokio::time::Instant;
+
+/// Counts time from the start of the process.
+#[derive(Clone, Copy, Debug)]
+pub struct Clock {
+    started: Instant,
+}
+
+impl Clock {
+    /// A clock that starts now.
+    pub fn start() -> Self {
+        Self {
+            started: Instant::now(),
+        }
+    }
+
+    /// Time since the start of the process.
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.started.elapsed().as_micros() as u64)
+    }
+
+    /// When the process started.
+    pub fn started(&self) -> Instant {
+        self.started
+    }
+}
--- /dev/null
+++ b/crates/dyketally-gateway/src/context/mod.rs
@@ -0,0 +1,70 @@
+//! What all parts of the process share: settings, clock, log, counters and metrics, the configuration
+//! in force, how current the node's contacts are, and the signals that tasks wait for.
+//!
+//! Relies on nothing above it: every part is built with an `Rc<Context>`.
+
+mod changes;
+mod clock;
+mod configuration;
+pub mod contact;
+mod stop;
+
+use std::rc::Rc;
+use std::sync::Arc;
+
+use dyketally::time::Timestamp;
+
+pub use self::changes::Changes;
+pub use self::clock::Clock;
+pub use self::configuration::Configuration;
+use self::contact::NodeContact;
+pub use self::stop::{Stop, StopPhase};
+use crate::counters::{Counters, StoreCalls};
+use crate::event::EventLog;
+use crate::measures::Measures;
+use crate::settings::Settings;
+
+/// What all parts of the process share.
+pub struct Context {
+    /// The process's settings.
+    pub settings: Settings,
+    /// The monotonic clock.
+    pub clock: Clock,
+    /// The log.
+    pub events: EventLog,
+    /// What the process has done.
+    pub counters: Counters,
+    /// The same for its metrics, with times.
+    pub measures: Rc<Measures>,
+    /// The configuration in force and its age.
+    pub configuration: Configuration,
+    /// How lately the store and most nodes replied to this node.
+    pub contact: Rc<NodeContact>,
+    /// Tells that routes, databases or a primary changed.
+    pub changes: Changes,
+    /// The phase of the planned stop.
+    pub stop: Stop,
+}
+
+impl Context {
+    /// A process that starts now; `store_calls` are counted by its client of the store.
+    pub fn new(settings: Settings, store_calls: Arc<StoreCalls>) -> Rc<Self> {
+        let configuration = Configuration::new(settings.access.key_policy());
+        Rc::new(Self {
+            settings,
+            clock: Clock::start(),
+            events: EventLog::new(),
+            counters: Counters::new(store_calls),
+            measures: Rc::default(),
+            configuration,
+            contact: Rc::default(),
+            changes: Changes::default(),
+            stop: Stop::default(),
+        })
+    }
+
+    /// Now, on the process's monotonic clock.
+    pub fn now(&self) -> Timestamp {
+        self.clock.now()
+    }
+}
--- a/crates/dyketally-gateway/src/counters.rs
+++ b/crates/dyketally-gateway/src/counters.rs
@@ -3,11 +3,10 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
 
 use serde::Serialize;
 
-use crate::store::metered_store::StoreCalls;
-
 /// One count.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
@@ -97,3 +96,25 @@
         }
     }
 }
+
+/// Calls since the start of the process, failed ones included. Names are documented in
+/// `docs/logs.md`.
+#[derive(Debug, Default, Serialize)]
+pub struct StoreCalls {
+    /// Ranges read, but for stale ones.
+    pub(crate) store_reads: AtomicU64,
+    /// Ranges read that may be some seconds old.
+    pub(crate) store_stale_reads: AtomicU64,
+    /// Transactions and single keys written.
+    pub(crate) store_writes: AtomicU64,
+    /// Waits for changes that ended.
+    pub(crate) store_watches: AtomicU64,
+    /// Leases granted or ended.
+    pub(crate) store_leases: AtomicU64,
+    /// Leases renewed.
+    pub(crate) store_renewals: AtomicU64,
+    /// Bytes of keys and values that the store sent, before they are encoded.
+    pub(crate) store_received_bytes: AtomicU64,
+    /// Bytes of keys and values that the store was sent.
+    pub(crate) store_sent_bytes: AtomicU64,
+}
--- a/crates/dyketally-gateway/src/database/connection.rs
+++ b/crates/dyketally-gateway/src/database/connection.rs
@@ -14,9 +14,9 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
+use crate::database::batch::{Batch, Flow, Reset, SessionContext, Step};
 use crate::fleet::relay;
 use crate::ports::{DatabaseCommand, DatabaseUser, OwnStatement, Reply, SharedDatabaseProtocol};
-use crate::statement::batch::{Batch, Flow, Reset, SessionContext, Step};
 
 /// Time after which the system gives up a connection whose peer acknowledges nothing.
 pub const SILENT_PEER: Duration = Duration::from_millis(2_500);
--- a/crates/dyketally-gateway/src/database/loading.rs
+++ b/crates/dyketally-gateway/src/database/loading.rs
@@ -11,7 +11,7 @@
 use dyketally::time::Timestamp;
 use tokio::time::Instant;
 
-use crate::succession::lead::Touch;
+use crate::context::contact::NodeContact;
 
 /// Requests of a batch as a rule: a statement of its own, or one of those that a read at a primary is
 /// framed by.
@@ -23,7 +23,7 @@
 /// The load of one database, as this node controls it.
 pub struct Loading {
     throttle: RefCell<Throttle>,
-    touch: Rc<Touch>,
+    contact: Rc<NodeContact>,
     started: Instant,
     /// Batches that were given a connection and aren't sent yet.
     reserved: Cell<u32>,
@@ -64,10 +64,10 @@
 
 impl Loading {
     /// One that knows nothing yet; times are counted from `started`.
-    pub fn new(touch: Rc<Touch>, started: Instant) -> Rc<Self> {
+    pub fn new(contact: Rc<NodeContact>, started: Instant) -> Rc<Self> {
         Rc::new(Self {
             throttle: RefCell::default(),
-            touch,
+            contact,
             started,
             reserved: Cell::new(0),
             sent: Cell::new(0),
@@ -119,7 +119,7 @@
     /// Whether this node may send to it now.
     pub fn pace(&self) -> Pace {
         let now = self.now();
-        let heard = self.touch.heard_store(now);
+        let heard = self.contact.heard_store(now);
         self.throttle.borrow_mut().pace(now, heard)
     }
 
--- a/crates/dyketally-gateway/src/database/pool/checkout.rs
+++ b/crates/dyketally-gateway/src/database/pool/checkout.rs
@@ -8,9 +8,9 @@
 
 use super::Pool;
 use super::guards::Held;
+use crate::database::batch::Batch;
 use crate::database::connection::{Answer, Broken, Connection};
 use crate::measures::Stage;
-use crate::statement::batch::Batch;
 
 /// A connection in use. Dropping it closes the connection; [`Checkout::give_back`] keeps it.
 pub struct Checkout {
--- a/crates/dyketally-gateway/src/database/pool/guards.rs
+++ b/crates/dyketally-gateway/src/database/pool/guards.rs
@@ -6,8 +6,8 @@
 use dyketally::admission::Rank;
 
 use super::Pool;
+use crate::database::claim::{Claim, Work};
 use crate::database::loading::Reserved;
-use crate::statement::checkout::{Claim, Work};
 
 /// Counts a connection that is being opened, unless it comes to nothing.
 pub(super) struct OpenSlot {
--- a/crates/dyketally-gateway/src/database/pool/mod.rs
+++ b/crates/dyketally-gateway/src/database/pool/mod.rs
@@ -19,11 +19,11 @@
 use dyketally::time::Timestamp;
 use tokio::time::Instant;
 
+use crate::database::claim::{Claim, Work};
 use crate::database::connection::{Answer, Connection, OpenError, Route};
 use crate::database::loading::Loading;
 use crate::measures::{Handed, Measures, Stage};
 use crate::ports::{DatabaseUser, SharedDatabaseProtocol};
-use crate::statement::checkout::{Claim, Work};
 
 pub use self::checkout::{Checkout, RunError};
 use self::guards::{Held, OpenSlot, Running};
--- a/crates/dyketally-gateway/src/database/pool/waiting.rs
+++ b/crates/dyketally-gateway/src/database/pool/waiting.rs
@@ -7,7 +7,7 @@
 
 use super::guards::Waiting;
 use super::{CheckoutError, OWN_PRIORITY, Pool, RESERVED_SHARE};
-use crate::statement::checkout::Work;
+use crate::database::claim::Work;
 
 /// What someone waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/dyketally-gateway/src/event.rs
+++ b/crates/dyketally-gateway/src/event.rs
@@ -9,7 +9,6 @@
 use tokio::time::Instant;
 
 use crate::counters::Counters;
-use crate::store::feed::Form;
 
 /// Lines written per second; further ones are counted.
 const LINES_PER_SECOND: u32 = 60;
@@ -274,6 +273,18 @@
     },
 }
 
+/// How much of the configuration a message holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Form {
+    /// All keys.
+    Copy,
+    /// One key with its new value.
+    Change,
+    /// One key with what is new in its value.
+    Difference,
+}
+
 #[derive(Serialize)]
 struct Line<'a> {
     at_ms: u64,
--- a/crates/dyketally-gateway/src/fleet/holders.rs
+++ b/crates/dyketally-gateway/src/fleet/holders.rs
@@ -1,9 +1,5 @@
 //! Which nodes send to a database while it is cold, and what this node hears of its start.
 
-use std::cell::RefCell;
-use std::collections::HashMap;
-use std::rc::Rc;
-
 use dyketally::directory::{Announcement, DirectoryChange};
 use dyketally::identifiers::{DatabaseName, GroupName};
 use dyketally::route_policy::SlowStart;
@@ -13,45 +9,16 @@
 use crate::event::Event;
 use crate::gateway::Gateway;
 
-/// The loads of all databases that are known.
-#[derive(Default)]
-pub struct Loads {
-    by_database: RefCell<HashMap<DatabaseName, Rc<Loading>>>,
-}
-
-impl Loads {
-    /// Forgets a database.
-    pub fn forget(&self, database: &DatabaseName) {
-        self.by_database.borrow_mut().remove(database);
-    }
-
-    /// All that are known.
-    pub fn all(&self) -> Vec<(DatabaseName, Rc<Loading>)> {
-        let known = self.by_database.borrow();
-        let known = known.iter();
-        known
-            .map(|(name, loading)| (name.clone(), loading.clone()))
-            .collect()
-    }
-}
-
 impl Gateway {
-    /// How a database may be loaded.
-    pub fn loading(&self, database: &DatabaseName) -> Rc<Loading> {
-        let mut known = self.loads.by_database.borrow_mut();
-        let new = || Loading::new(self.touch.clone(), self.started());
-        known.entry(database.clone()).or_insert_with(new).clone()
-    }
-
     /// Takes in what a database announces of its start, once the directory knows the database.
     pub fn heard_of_start(&self, announcement: &Announcement) {
         let database = &announcement.database;
-        let loading = self.loading(database);
+        let loading = self.databases.loading(database);
         let was_cold = !loading.announced_cold_for().is_zero();
         loading.announced(announcement.cold_for);
         self.share_out_load(database, &announcement.group, &loading);
         if !was_cold && !loading.announced_cold_for().is_zero() {
-            self.events.write(&Event::DatabaseCold {
+            self.cx.events.write(&Event::DatabaseCold {
                 database: database.as_str(),
                 group: announcement.group.as_str(),
                 cold_for_ms: announcement.cold_for.as_millis() as u64,
@@ -62,23 +29,23 @@
     /// Takes in that a database no longer announces itself: it may start again without this node's
     /// knowledge.
     pub fn start_is_unknown(&self, database: &DatabaseName) {
-        self.loading(database).doubted();
+        self.databases.loading(database).doubted();
     }
 
     /// Takes in that databases came or went.
     pub fn loads_changed(&self, changes: &[DirectoryChange]) {
         for change in changes {
             if let DirectoryChange::Forgotten(name) = change {
-                self.loads.forget(name);
+                self.databases.loads.borrow_mut().remove(name);
             }
         }
     }
 
     /// Works out anew which databases this node sends to while they are cold: nodes or limits changed.
     pub fn share_out_loads(&self) {
-        for (database, loading) in self.loads.all() {
+        for (database, loading) in self.databases.loadings() {
             let group = {
-                let directory = self.directory.borrow();
+                let directory = self.databases.directory.borrow();
                 let member = directory.member(&database);
                 member.map(|member| member.announcement.group.clone())
             };
@@ -93,18 +60,18 @@
         let rule = self.slow_start(group);
         loading.set_rule(rule, self.load_margin());
         // Before the nodes are known this one would take itself for the only one.
-        let is_known = self.membership.is_known() && rule.is_some();
+        let is_known = self.fleet.membership.is_known() && rule.is_some();
         loading.hold(is_known && self.holds_load(database));
     }
 
     fn slow_start(&self, group: &GroupName) -> Option<SlowStart> {
-        let routes = self.routes();
+        let routes = self.cx.routes();
         let limits = routes.groups.get(group)?;
         limits.slow_start
     }
 
     fn load_margin(&self) -> Margin {
-        let bounds = &self.settings.bounds;
+        let bounds = &self.cx.settings.bounds;
         Margin {
             overrun: bounds.cold_overrun,
             slack: f64::from(bounds.cold_slack),
--- a/crates/dyketally-gateway/src/fleet/home.rs
+++ b/crates/dyketally-gateway/src/fleet/home.rs
@@ -12,13 +12,14 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
+use crate::database::batch::{Batch, Reset};
+use crate::database::claim::failure_kind;
+use crate::database::claim::{Claim, Refusal};
 use crate::database::connection::{Broken, leave_idle};
+use crate::database::target::Target;
 use crate::fleet::link::{Call, CallReply, Frames, frames};
 use crate::gateway::Gateway;
-use crate::statement::batch::{Batch, Reset};
-use crate::statement::checkout::{Checkout, Claim, Refusal, Unanswered};
-use crate::statement::eligibility::failure_kind;
-use crate::statement::target::Target;
+use crate::statement::checkout::{Checkout, Unanswered};
 
 /// How long a call goes on whose link was closed, so that its connection can be kept.
 const ABANDONED_LIMIT: Duration = Duration::from_millis(400);
@@ -43,14 +44,15 @@
 
 impl Busy {
     fn begin(gateway: &Rc<Gateway>) -> Self {
-        gateway.calls.set(gateway.calls.get() + 1);
+        gateway.fleet.calls.set(gateway.fleet.calls.get() + 1);
         Self(gateway.clone())
     }
 }
 
 impl Drop for Busy {
     fn drop(&mut self) {
-        self.0.calls.set(self.0.calls.get() - 1);
+        let calls = &self.0.fleet.calls;
+        calls.set(calls.get() - 1);
     }
 }
 
@@ -74,7 +76,9 @@
         let Ok(message) = postcard::to_stdvec(&reply) else {
             return;
         };
-        gateway.count_sent("call_reply", caller, message.len());
+        gateway
+            .fleet
+            .count_sent("call_reply", caller, message.len());
         if frames.send(Bytes::from(message)).await.is_err() {
             return;
         }
@@ -167,7 +171,7 @@
 }
 
 async fn bind(gateway: &Rc<Gateway>, call: &Call<'_>) -> Result<Bound, CallReply> {
-    if gateway.is_stopping() {
+    if gateway.cx.stop.is_stopping() {
         return Err(CallReply::Leaving);
     }
     let Some(target) = gateway.known_target(&call.database) else {
--- a/crates/dyketally-gateway/src/fleet/homes.rs
+++ b/crates/dyketally-gateway/src/fleet/homes.rs
@@ -10,10 +10,10 @@
 use dyketally::identifiers::{DatabaseName, NodeName, RegionName, TenantName};
 use dyketally::placement::{self, Sharing};
 
+use crate::database::claim::{Claim, Work};
 use crate::fleet::passed_over::PassedOver;
 use crate::gateway::Gateway;
 use crate::ports::DatabaseUser;
-use crate::statement::checkout::{Claim, Work};
 
 /// Connections assumed where the configuration doesn't tell.
 const GRANTED_ASSUMED: u32 = 16;
@@ -114,7 +114,7 @@
         let Some(placed) = self.placed(database) else {
             return Reach::Own;
         };
-        if claim.work != Work::Control && self.loading(database).is_cold() {
+        if claim.work != Work::Control && self.databases.loading(database).is_cold() {
             return match placed.holds_load {
                 true => Reach::Own,
                 false => Reach::Via(placed.ordered_holders(&claim.regions)),
@@ -124,7 +124,7 @@
             return Reach::Own;
         }
         let homes = placed.ordered(claim.user.as_ref(), &claim.regions);
-        let usable = |home: &SocketAddr| !self.homes.passed_over.contains(home);
+        let usable = |home: &SocketAddr| !self.fleet.homes.passed_over.contains(home);
         match homes.iter().any(usable) {
             true => Reach::Via(homes),
             false => Reach::Own,
@@ -172,22 +172,22 @@
     /// to datagrams either is passed over. Homes run near their databases, so that both are often lost
     /// together: a primary is reported at once, and the poll that follows finds out.
     pub fn look_for_home(self: &Rc<Self>, home: SocketAddr, database: &DatabaseName) {
-        let Some(peers) = self.peers.borrow().clone() else {
+        let Some(peers) = self.fleet.peers.borrow().clone() else {
             return;
         };
-        if !self.homes.looked_for.borrow_mut().insert(home) {
+        if !self.fleet.homes.looked_for.borrow_mut().insert(home) {
             return;
         }
         let gateway = self.clone();
         let database = database.clone();
         tokio::task::spawn_local(async move {
             let found = peers.is_reached(home).await;
-            gateway.homes.looked_for.borrow_mut().remove(&home);
+            gateway.fleet.homes.looked_for.borrow_mut().remove(&home);
             if found {
                 return;
             }
-            gateway.homes.passed_over.add(home);
-            gateway.links.close(home);
+            gateway.fleet.homes.passed_over.add(home);
+            gateway.fleet.links.close(home);
             let target = gateway.known_target(&database);
             if let Some(target) = target.filter(|target| gateway.is_primary(target)) {
                 gateway.report_suspicion(&target);
@@ -196,32 +196,32 @@
     }
 
     fn placed(&self, database: &DatabaseName) -> Option<Rc<Placed>> {
-        if let Some(placed) = self.homes.placed.borrow().get(database) {
+        if let Some(placed) = self.fleet.homes.placed.borrow().get(database) {
             return Some(placed.clone());
         }
         let placed = Rc::new(self.place(database)?);
-        let mut known = self.homes.placed.borrow_mut();
+        let mut known = self.fleet.homes.placed.borrow_mut();
         known.insert(database.clone(), placed.clone());
         Some(placed)
     }
 
     fn place(&self, database: &DatabaseName) -> Option<Placed> {
         let (group, zone) = {
-            let directory = self.directory.borrow();
+            let directory = self.databases.directory.borrow();
             let announcement = &directory.member(database)?.announcement;
             (announcement.group.clone(), announcement.zone.clone())
         };
-        let routes = self.routes();
+        let routes = self.cx.routes();
         let limits = routes.groups.get(&group);
         let granted = limits.map_or(GRANTED_ASSUMED, |limits| limits.connection_limit);
-        let nodes = self.membership.node_count();
+        let nodes = self.fleet.membership.node_count();
         let sharing = Sharing::of(granted, nodes);
         let everyone = matches!(sharing, Sharing::Everyone(_));
         let count = sharing.homes(nodes);
         let holder_count = self.load_holders(&group);
-        let locality = self.settings.locality(&zone);
-        let own = &self.settings.node.name;
-        let nodes = self.membership.nodes();
+        let locality = self.cx.settings.locality(&zone);
+        let own = &self.cx.settings.node.name;
+        let nodes = self.fleet.membership.nodes();
         let candidates = nodes.values().map(|node| node.candidate());
         let wanted = match everyone {
             true => holder_count,
--- a/crates/dyketally-gateway/src/fleet/link.rs
+++ b/crates/dyketally-gateway/src/fleet/link.rs
@@ -19,13 +19,13 @@
 use tokio::time::Instant;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
+use crate::database::batch::Batch;
+use crate::database::claim::{Claim, Refusal, Work};
 use crate::database::connection::{Answer, Broken, is_quiet, leave_idle};
 use crate::fleet::relay::{self, Opening};
 use crate::gateway::Gateway;
 use crate::measures::Stage;
 use crate::ports::DatabaseUser;
-use crate::statement::batch::Batch;
-use crate::statement::checkout::{Claim, Refusal, Work};
 
 /// Longest message between nodes.
 const LONGEST_MESSAGE: usize = 4 << 20;
@@ -124,7 +124,7 @@
 
     async fn call(&mut self, gateway: &Gateway, call: &Call<'_>) -> Result<CallReply, Broken> {
         let message = postcard::to_stdvec(call).map_err(Broken::new)?;
-        gateway.count_sent("call", self.home, message.len());
+        gateway.fleet.count_sent("call", self.home, message.len());
         self.frames
             .send(Bytes::from(message))
             .await
@@ -250,7 +250,7 @@
             let reply = self
                 .call_watched(home, link.call(&self.gateway, &call))
                 .await;
-            self.gateway.measures.spent(Stage::Link, began.elapsed());
+            self.gateway.cx.measures.spent(Stage::Link, began.elapsed());
             let reply = reply.map_err(|broken| {
                 self.pass_over(home);
                 CallError::HomeLost(broken)
@@ -258,7 +258,7 @@
             self.link = Some((home, link));
             match reply {
                 CallReply::Answers(answers) => {
-                    self.gateway.loading(&self.database).ran();
+                    self.gateway.databases.loading(&self.database).ran();
                     self.bound = !leave_idle(&answers);
                     return Ok(answers);
                 }
@@ -297,26 +297,28 @@
 
     fn link_is_free(&mut self) {
         if let Some((home, link)) = self.link.take() {
-            self.gateway.links.give_back(home, link);
+            self.gateway.fleet.links.give_back(home, link);
         }
     }
 
     fn pass_over(&self, home: SocketAddr) {
-        self.gateway.homes.passed_over.add(home);
-        self.gateway.links.close(home);
+        self.gateway.fleet.homes.passed_over.add(home);
+        self.gateway.fleet.links.close(home);
     }
 
     /// A link to the first home that can be reached.
     async fn reach_home(&mut self) -> Result<(SocketAddr, Link), CallError> {
         let homes = self.homes.clone();
         for home in homes.iter() {
-            if self.gateway.homes.passed_over.contains(home) || Instant::now() >= self.claim.until {
+            if self.gateway.fleet.homes.passed_over.contains(home)
+                || Instant::now() >= self.claim.until
+            {
                 continue;
             }
             if self.used_up.iter().any(|(asked, _)| asked == home) {
                 continue;
             }
-            match self.gateway.links.take(*home).await {
+            match self.gateway.fleet.links.take(*home).await {
                 Ok(link) => return Ok((*home, link)),
                 Err(_) => self.pass_over(*home),
             }
--- a/crates/dyketally-gateway/src/fleet/liveness.rs
+++ b/crates/dyketally-gateway/src/fleet/liveness.rs
@@ -74,7 +74,7 @@
                 }
                 () = tokio::time::sleep_until(next) => {
                     next = Instant::now() + HEARTBEAT;
-                    if self.gateway.is_stopping() {
+                    if self.gateway.cx.stop.is_stopping() {
                         return;
                     }
                     self.look().await;
@@ -87,7 +87,7 @@
         let watched = self.gateway.watched_over();
         self.ask(&watched);
         // Without the store nothing can be removed, and cut off from most this node may be wrong.
-        if self.gateway.membership.store_is_failing() || !self.hears_most(&watched) {
+        if self.gateway.fleet.membership.store_is_failing() || !self.hears_most(&watched) {
             return;
         }
         for node in watched {
@@ -137,7 +137,7 @@
         };
         let removed = self.store.transact(request).await;
         self.heard.borrow_mut().insert(node.address, Instant::now());
-        self.gateway.events.write(&Event::NodeGone {
+        self.gateway.cx.events.write(&Event::NodeGone {
             node: node.node.as_str(),
             removed: removed.is_ok_and(|reply| reply.succeeded),
         });
@@ -147,9 +147,9 @@
 impl Gateway {
     /// The nodes that this one watches over.
     fn watched_over(&self) -> Vec<NodeRecord> {
-        let nodes = self.membership.nodes();
-        let own = &self.settings.node.name;
-        let own_zone = self.settings.own_locality();
+        let nodes = self.fleet.membership.nodes();
+        let own = &self.cx.settings.node.name;
+        let own_zone = self.cx.settings.own_locality();
         let mut zones: BTreeMap<&ZoneName, Vec<&NodeRecord>> = BTreeMap::new();
         for node in nodes.values() {
             zones.entry(&node.locality.zone).or_default().push(node);
--- a/crates/dyketally-gateway/src/fleet/member.rs
+++ b/crates/dyketally-gateway/src/fleet/member.rs
@@ -10,10 +10,11 @@
 };
 use tokio::time::Instant;
 
+use crate::context::StopPhase;
 use crate::fleet::membership::{Keys, Membership};
-use crate::gateway::{Gateway, StopPhase};
+use crate::gateway::Gateway;
 use crate::store::feed::Subject;
-use crate::store::follow::StoreUpdate;
+use dyketally_store::update::StoreUpdate;
 
 /// Time after which the key of a node that is lost goes. Other nodes notice sooner, see
 /// [`Liveness`](crate::fleet::liveness::Liveness), so this may be long: renewals are priced, and a
@@ -64,7 +65,7 @@
     }
 
     fn membership(&self) -> &Membership {
-        &self.gateway.membership
+        &self.gateway.fleet.membership
     }
 
     /// Takes in a change of the nodes' keys.
@@ -94,7 +95,7 @@
     /// Keeps the lease and the node's key until the process stops.
     pub async fn run(self: Rc<Self>) {
         let mut former = None;
-        while !self.gateway.is_stopping() {
+        while !self.gateway.cx.stop.is_stopping() {
             match self.join().await {
                 Ok(lease) => {
                     self.membership().store_answered();
@@ -114,7 +115,7 @@
         let mut failures = 1;
         loop {
             tokio::time::sleep(JOIN_RETRY.delay(failures, &mut rand::rng())).await;
-            if self.gateway.is_stopping() || self.store_replies(former).await {
+            if self.gateway.cx.stop.is_stopping() || self.store_replies(former).await {
                 return;
             }
             failures += 1;
@@ -140,7 +141,7 @@
     /// Takes a lease and puts the node's key. From then on a fence waits for this node.
     async fn join(&self) -> Result<LeaseId, StoreError> {
         let lease = self.store.grant_lease(LEASE).await?;
-        let asked = self.gateway.now();
+        let asked = self.gateway.cx.now();
         let put = self.keys.put(self.keys.node(), lease.id);
         self.store
             .transact(TransactionRequest {
@@ -148,8 +149,8 @@
                 ..TransactionRequest::default()
             })
             .await?;
-        self.gateway.store_replied_to_this_node(asked);
-        self.gateway.store_replied(asked);
+        self.gateway.cx.contact.store_replied_to_this_node(asked);
+        self.gateway.cx.contact.store_replied(asked);
         Ok(lease.id)
     }
 
@@ -172,8 +173,8 @@
                         continue;
                     }
                 }
-                () = self.gateway.entered(StopPhase::Leaving) => {
-                    self.gateway.disregard_store();
+                () = self.gateway.cx.stop.entered(StopPhase::Leaving) => {
+                    self.gateway.cx.contact.disregard_store();
                     // If it fails the lease runs out by itself.
                     let _ = self.store.revoke_lease(lease).await;
                     return;
--- a/crates/dyketally-gateway/src/fleet/membership.rs
+++ b/crates/dyketally-gateway/src/fleet/membership.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::store::follow::StoreUpdate;
+use dyketally_store::update::StoreUpdate;
 
 /// The duty is laid down this long before its lease can end.
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
--- a/crates/dyketally-gateway/src/fleet/peer.rs
+++ b/crates/dyketally-gateway/src/fleet/peer.rs
@@ -14,9 +14,9 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
+use crate::database::target::Target;
 use crate::fleet::message::PeerMessage;
 use crate::gateway::Gateway;
-use crate::statement::target::Target;
 
 /// How long other nodes may take to tell whether they reach a database.
 const RELAY_SEARCH: Duration = Duration::from_millis(450);
@@ -131,11 +131,11 @@
                 group,
                 database,
             } => {
-                self.gateway.membership.check_store.notify_one();
+                self.gateway.fleet.membership.check_store.notify_one();
                 let peers = self.clone();
                 tokio::task::spawn_local(async move {
                     let evidence = peers.gateway.evidence(&group, &database).await;
-                    let store_lost = peers.gateway.membership.store_lost();
+                    let store_lost = peers.gateway.fleet.membership.store_lost();
                     if let Some(evidence) = evidence {
                         let vote = PeerMessage::Vote {
                             poll,
@@ -189,7 +189,7 @@
             PeerMessage::AreYouThere { round } => {
                 self.asked_by.borrow_mut().insert(from, Instant::now());
                 let gateway = &self.gateway;
-                let fenced = gateway.fences.borrow().standing(gateway.now());
+                let fenced = gateway.databases.fences.borrow().standing(gateway.cx.now());
                 self.send(from, &PeerMessage::Here { round, fenced });
             }
             PeerMessage::Here { round, fenced } => {
@@ -222,7 +222,7 @@
                 let relays = self.gateway.relays_for(&zone);
                 self.send(from, &PeerMessage::Relays { relays });
             }
-            PeerMessage::Relays { relays } => self.gateway.membership.heard_of_relays(relays),
+            PeerMessage::Relays { relays } => self.gateway.fleet.membership.heard_of_relays(relays),
             PeerMessage::PermitAsked {
                 round,
                 tenant,
@@ -240,10 +240,12 @@
                 self.send(from, &PeerMessage::ReachReply { round });
             }
             PeerMessage::ReachReply { round } => pass_on(&self.reach_rounds, round, ()),
-            PeerMessage::Ends { node } => self.gateway.membership.ended(&node),
-            PeerMessage::HasDuty { record } => self.gateway.membership.heard_of_holder(record),
+            PeerMessage::Ends { node } => self.gateway.fleet.membership.ended(&node),
+            PeerMessage::HasDuty { record } => {
+                self.gateway.fleet.membership.heard_of_holder(record)
+            }
             PeerMessage::Leads { database, .. } => {
-                let mut directory = self.gateway.directory.borrow_mut();
+                let mut directory = self.gateway.databases.directory.borrow_mut();
                 directory.acted_as_primary(&database);
                 drop(directory);
                 self.gateway.lift_fence(&database);
@@ -261,7 +263,9 @@
     /// Sends one message; it may get lost.
     pub fn send(&self, to: SocketAddr, message: &PeerMessage) {
         if let Ok(bytes) = postcard::to_stdvec(message) {
-            self.gateway.count_sent(message.kind(), to, bytes.len());
+            self.gateway
+                .fleet
+                .count_sent(message.kind(), to, bytes.len());
             // A datagram that can't be sent is one that got lost.
             let _ = self.socket.try_send_to(&bytes, to);
         }
@@ -269,16 +273,16 @@
 
     /// Sends one message to all other nodes.
     pub fn broadcast(&self, message: &PeerMessage) {
-        let own = &self.gateway.settings.node.name;
-        for address in self.gateway.membership.others(own) {
+        let own = &self.gateway.cx.settings.node.name;
+        for address in self.gateway.fleet.membership.others(own) {
             self.send(address, message);
         }
     }
 
     /// Sends one message to all other nodes that may run, listed or not.
     pub fn broadcast_to_electorate(&self, message: &PeerMessage) {
-        let own = &self.gateway.settings.node.name;
-        for address in self.gateway.membership.electorate(own) {
+        let own = &self.gateway.cx.settings.node.name;
+        for address in self.gateway.fleet.membership.electorate(own) {
             self.send(address, message);
         }
     }
@@ -300,14 +304,14 @@
     }
 
     fn polled(&self, database: &DatabaseName) -> Vec<SocketAddr> {
-        let own = &self.gateway.settings.node.name;
+        let own = &self.gateway.cx.settings.node.name;
         let mut polled = self.gateway.homes_of(database);
-        let mut others = self.gateway.membership.electorate(own);
+        let mut others = self.gateway.fleet.membership.electorate(own);
         others.retain(|address| !polled.contains(address));
         others.shuffle(&mut rand::rng());
         // The database's own zone or region may be lost with it, and couldn't tell.
         if let Some(locality) = self.gateway.locality_of(database) {
-            let near = self.gateway.membership.near(&locality);
+            let near = self.gateway.fleet.membership.near(&locality);
             others.sort_by_key(|address| near.contains(address));
         }
         polled.extend(others);
@@ -384,12 +388,12 @@
 impl Gateway {
     /// Takes in that some node suspects a primary.
     pub fn suspected(&self, group: GroupName, database: DatabaseName) {
-        let mut suspicions = self.membership.suspicions.borrow_mut();
+        let mut suspicions = self.fleet.membership.suspicions.borrow_mut();
         suspicions
             .entry((group, database))
             .or_insert_with(Instant::now);
         drop(suspicions);
-        self.membership.attention.notify_one();
+        self.fleet.membership.attention.notify_one();
     }
 
     /// What this node sees of a database; `None` when it doesn't know it.
@@ -407,20 +411,20 @@
 
     /// Where a database runs, if it is known.
     fn locality_of(&self, database: &DatabaseName) -> Option<Locality> {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let zone = &directory.member(database)?.announcement.zone;
-        Some(self.settings.locality(zone))
+        Some(self.cx.settings.locality(zone))
     }
 
     /// A database as a target.
     pub fn known_target(&self, database: &DatabaseName) -> Option<Target> {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         Some(self.target(directory.member(database)?, true))
     }
 
     /// Asks the other nodes who reaches `target`, and has the first that does relay to it.
     pub fn find_relay(self: &Rc<Self>, target: &Target) {
-        let Some(peers) = self.peers.borrow().clone() else {
+        let Some(peers) = self.fleet.peers.borrow().clone() else {
             return;
         };
         let target = target.clone();
@@ -433,7 +437,7 @@
                 let may_relay = peers.gateway.may_relay(vote.from, &target);
                 if vote.evidence == Evidence::Answered && may_relay {
                     target.state.pool.relay_by(vote.from);
-                    peers.gateway.tell_change();
+                    peers.gateway.cx.changes.notify();
                     return;
                 }
             }
@@ -443,7 +447,7 @@
     /// Tells the node that replaces primaries, or all nodes if it isn't known, that `target` doesn't
     /// answer.
     pub fn report_suspicion(&self, target: &Target) {
-        if self.membership.last_duty().is_some() {
+        if self.fleet.membership.last_duty().is_some() {
             self.suspected(target.group.clone(), target.name.clone());
             return;
         }
@@ -451,11 +455,11 @@
             group: target.group.clone(),
             database: target.name.clone(),
         };
-        let peers = self.peers.borrow();
+        let peers = self.fleet.peers.borrow();
         let Some(peers) = peers.as_ref() else {
             return;
         };
-        match self.membership.holder() {
+        match self.fleet.membership.holder() {
             Some(holder) => peers.send(holder, &message),
             // This node may not have heard yet who has the duty.
             None => peers.broadcast(&message),
--- a/crates/dyketally-gateway/src/fleet/relay.rs
+++ b/crates/dyketally-gateway/src/fleet/relay.rs
@@ -104,7 +104,7 @@
     database: &DatabaseName,
 ) -> std::io::Result<()> {
     let address = {
-        let directory = gateway.directory.borrow();
+        let directory = gateway.databases.directory.borrow();
         let member = directory.member(database);
         member.map(|member| member.announcement.address)
     };
--- a/crates/dyketally-gateway/src/traffic.rs
+++ b/crates/dyketally-gateway/src/fleet/traffic.rs
@@ -7,8 +7,8 @@
 
 use dyketally::identifiers::{NodeName, ZoneName};
 
+use crate::fleet::Fleet;
 use crate::fleet::membership::NodeRecord;
-use crate::gateway::Gateway;
 
 /// Under which name bytes to addresses are counted that no known node has, or several in different
 /// zones.
@@ -52,11 +52,11 @@
     }
 }
 
-impl Gateway {
+impl Fleet {
     /// Counts a message of `kind` that goes to the node at `to`. The port may be one that the other node
     /// has for this connection alone.
     pub fn count_sent(&self, kind: &'static str, to: SocketAddr, bytes: usize) {
-        let counters = &self.counters;
+        let counters = &self.cx.counters;
         counters.sent_bytes.add(kind, bytes);
         let Some(receiver) = self.traffic.known(to).or_else(|| self.receiver(to)) else {
             counters.sent_bytes_by_zone.add(UNKNOWN, bytes);
@@ -89,7 +89,7 @@
         let receiver = Receiver {
             node: node.node.clone(),
             zone: node.locality.zone.clone(),
-            is_far: node.locality.region != self.settings.own_locality().region,
+            is_far: node.locality.region != self.cx.settings.own_locality().region,
         };
         let traffic = &self.traffic;
         if exact.is_some() {
--- a/crates/dyketally-gateway/src/lib.rs
+++ b/crates/dyketally-gateway/src/lib.rs
@@ -5,8 +5,9 @@
 //! own to the databases, and takes part in electing the one node that replaces lost primaries. All
 //! tasks of a process run on one thread, so state is shared without locks.
 
+mod context;
 mod counters;
-mod database;
+pub mod database;
 mod event;
 pub mod fleet;
 mod gateway;
@@ -19,6 +20,5 @@
 pub mod statement;
 pub mod store;
 mod succession;
-pub mod traffic;
 
 pub use node::{Adapters, run};
--- /dev/null
+++ b/crates/dyketally-gateway/src/node/exposition.rs
@@ -0,0 +1,221 @@
+//! The text of the metrics: what was counted and timed since the start of the process, and how things
+//! stand as they are asked for.
+
+use prometheus::{Encoder, Gauge, IntGaugeVec, Opts, Registry, TextEncoder};
+use serde_json::Value;
+
+use crate::gateway::Gateway;
+use crate::measures::registered;
+
+impl Gateway {
+    /// All metrics, as text.
+    pub fn metrics(&self) -> String {
+        let now = Registry::new();
+        self.collect_counters(&now);
+        self.collect_state(&now);
+        let mut families = self.cx.measures.gather();
+        families.extend(now.gather());
+        let mut text = Vec::new();
+        if let Err(error) = TextEncoder::new().encode(&families, &mut text) {
+            return format!("# the metrics can't be written: {error}\n");
+        }
+        String::from_utf8_lossy(&text).into_owned()
+    }
+
+    /// The counters of the log under their names there.
+    fn collect_counters(&self, registry: &Registry) {
+        let Ok(Value::Object(counters)) = serde_json::to_value(&self.cx.counters) else {
+            return;
+        };
+        for (name, value) in counters {
+            match value {
+                Value::Number(count) => {
+                    let name = format!("dyketally_{name}_total");
+                    gauge(registry, &name, "See the log's counters.", count.as_f64());
+                }
+                Value::Object(kinds) => {
+                    let name = format!("dyketally_{name}_total");
+                    let vec = gauges(registry, &name, "See the log's counters.", &["kind"]);
+                    for (kind, count) in kinds {
+                        let count = count.as_i64().unwrap_or_default();
+                        vec.with_label_values(&[&kind]).set(count);
+                    }
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn collect_state(&self, registry: &Registry) {
+        let set = |name: &str, help: &str, value: usize| {
+            gauge(registry, name, help, Some(value as f64));
+        };
+        set("dyketally_sessions", "Open sessions.", self.sessions.open());
+        set(
+            "dyketally_nodes",
+            "Nodes that run.",
+            self.fleet.membership.node_count(),
+        );
+        let has_duty = usize::from(self.fleet.membership.last_duty().is_some());
+        set(
+            "dyketally_duty",
+            "1 while this node replaces primaries.",
+            has_duty,
+        );
+        let in_touch = usize::from(self.cx.is_in_touch());
+        set(
+            "dyketally_in_touch",
+            "1 while this node hears of successions.",
+            in_touch,
+        );
+        let routes = self.cx.routes();
+        let revision = routes.revision.0 as f64;
+        gauge(
+            registry,
+            "dyketally_configuration_revision",
+            "Revision of the configuration in force.",
+            Some(revision),
+        );
+        if let Some(age) = self.cx.configuration_age() {
+            gauge(
+                registry,
+                "dyketally_configuration_age_seconds",
+                "Time since the configuration was confirmed to be the newest one.",
+                Some(age.as_secs_f64()),
+            );
+        }
+        let lost_for = self.feed.watches_lost_for();
+        gauge(
+            registry,
+            "dyketally_watch_lost_seconds",
+            "Time for which this node's own watch of the store has been lost; 0 while it stands.",
+            lost_for.map(|lost_for| lost_for.as_secs_f64()),
+        );
+        let name = "dyketally_sent_bytes_to_node_total";
+        let sent = gauges(registry, name, "Bytes sent to another node.", &["node"]);
+        for (node, bytes) in self.fleet.traffic.by_node() {
+            let bytes = i64::try_from(bytes).unwrap_or(i64::MAX);
+            sent.with_label_values(&[node.as_str()]).set(bytes);
+        }
+        let lag = self.databases.replica_lag.get().value(self.cx.now());
+        gauge(
+            registry,
+            "dyketally_replica_lag_seconds",
+            "Time that commits are expected to take to replicas.",
+            Some(lag.as_secs_f64()),
+        );
+        self.collect_places(registry);
+        self.collect_databases(registry);
+        self.collect_loads(registry);
+    }
+
+    /// Databases whose group has a slow start.
+    fn collect_loads(&self, registry: &Registry) {
+        let loads = gauges(
+            registry,
+            "dyketally_slow_start",
+            "Whether a database may be cold, what this node may send to it then, and what became of it.",
+            &["database", "what"],
+        );
+        for (name, loading) in self.databases.loadings() {
+            let Some(status) = loading.status() else {
+                continue;
+            };
+            let figures = [
+                ("cold", i64::from(status.cold)),
+                ("holder", i64::from(status.holder)),
+                ("interval_ms", status.interval.as_millis() as i64),
+                ("sent", status.sent as i64),
+                ("refused", status.refused as i64),
+            ];
+            for (what, value) in figures {
+                loads.with_label_values(&[name.as_str(), what]).set(value);
+            }
+        }
+    }
+
+    /// Where operators allow statements to run.
+    fn collect_places(&self, registry: &Registry) {
+        let evacuated = gauges(
+            registry,
+            "dyketally_evacuated",
+            "1 for each zone whose databases get nothing more.",
+            &["zone"],
+        );
+        for zone in self.databases.evacuations.borrow().zones() {
+            evacuated.with_label_values(&[zone.as_str()]).set(1);
+        }
+        let serving = gauges(
+            registry,
+            "dyketally_serving_region",
+            "1 for each region that may serve a route which not all regions serve.",
+            &["route", "region"],
+        );
+        let routes = self.cx.routes();
+        for route in routes.routes.values() {
+            for region in route.regions.named() {
+                let labels = [route.name.as_str(), region.as_str()];
+                serving.with_label_values(&labels).set(1);
+            }
+        }
+        let tenants = routes.tenants.iter().flat_map(|tenants| tenants.tenants());
+        let bound = tenants.filter(|tenant| !tenant.regions.is_anywhere());
+        gauge(
+            registry,
+            "dyketally_bound_tenants",
+            "Tenants that not all regions serve.",
+            Some(bound.count() as f64),
+        );
+    }
+
+    fn collect_databases(&self, registry: &Registry) {
+        let pools = gauges(
+            registry,
+            "dyketally_pool",
+            "Connections of this node to a database, their limit, and who waits.",
+            &["database", "what"],
+        );
+        let leads = gauges(
+            registry,
+            "dyketally_leads",
+            "1 for the database that is taken for its group's primary.",
+            &["group", "database"],
+        );
+        let directory = self.databases.directory.borrow();
+        for (name, state) in self.databases.states.borrow().iter() {
+            let status = state.pool.status();
+            let figures = [
+                ("open", status.open),
+                ("idle", status.idle),
+                ("pinned", status.pinned),
+                ("limit", status.limit),
+                ("waiting", status.waiting),
+            ];
+            for (what, value) in figures {
+                pools
+                    .with_label_values(&[name.as_str(), what])
+                    .set(value.into());
+            }
+            if let Some(member) = directory.member(name) {
+                let group = &member.announcement.group;
+                let primary = directory.primary(group);
+                let is_primary = primary.is_some_and(|primary| primary.name() == name);
+                leads
+                    .with_label_values(&[group.as_str(), name.as_str()])
+                    .set(is_primary.into());
+            }
+        }
+    }
+}
+
+fn gauge(registry: &Registry, name: &str, help: &str, value: Option<f64>) {
+    let gauge = Gauge::new(name, help).expect("the name is valid");
+    gauge.set(value.unwrap_or_default());
+    registered(registry, gauge);
+}
+
+fn gauges(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
+    let gauges =
+        IntGaugeVec::new(Opts::new(name, help), labels).expect("the name and the labels are valid");
+    registered(registry, gauges)
+}
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -1,5 +1,6 @@
 //! One process of the gateway, assembled from settings and adapters, from start to planned stop.
 
+mod exposition;
 mod metrics;
 mod readiness;
 
@@ -17,6 +18,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::Instant;
 
+use crate::context::StopPhase;
 use crate::event::Event;
 use crate::fleet::liveness::Liveness;
 use crate::fleet::member::Member;
@@ -24,7 +26,7 @@
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
 use crate::fleet::relay;
-use crate::gateway::{Gateway, StopPhase};
+use crate::gateway::Gateway;
 use crate::ports::{
     PrimaryControl, ReadinessProtocol, SharedCallerProtocol, SharedDatabaseProtocol,
     StoredDocuments,
@@ -32,7 +34,7 @@
 use crate::session;
 use crate::settings::Settings;
 use crate::store::feed::{Follower, Sink, Subject, ask_seeds};
-use crate::store::follow::{FirstRead, Followed, Gathering, StoreUpdate, follow};
+use crate::store::follow::{FirstRead, Followed, Gathering, follow};
 use crate::store::metered_store::StoreCalls;
 use crate::store::unconfirmed::tell_unconfirmed;
 use crate::succession::duty::DutyKeeper;
@@ -40,6 +42,7 @@
 use crate::succession::fence::FenceKeeper;
 use crate::succession::lead::keep_in_touch;
 use crate::succession::short_contact::keep_short_contact;
+use dyketally_store::update::StoreUpdate;
 
 /// Pause between two rounds of tidying up.
 const TIDY_INTERVAL: Duration = Duration::from_secs(5);
@@ -99,11 +102,11 @@
         adapters.databases,
         adapters.store_calls,
     );
-    gateway.events.write(&Event::Started {
-        node: gateway.settings.node.name.as_str(),
+    gateway.cx.events.write(&Event::Started {
+        node: gateway.cx.settings.node.name.as_str(),
     });
     let peers = Peers::new(gateway.clone(), socket);
-    *gateway.peers.borrow_mut() = Some(peers.clone());
+    *gateway.fleet.peers.borrow_mut() = Some(peers.clone());
     let prefix = adapters.documents.own_prefix();
     let keys = Rc::new(Keys::new(prefix, own_record(&gateway)));
     let store = &adapters.store;
@@ -149,7 +152,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => gateway.events.write(&Event::SettingsChanged {
+            _ = hangup.recv() => gateway.cx.events.write(&Event::SettingsChanged {
                 effect: "the settings in force stay; restart the process to apply the file",
             }),
         }
@@ -157,7 +160,7 @@
     let left = futures::future::join(joined, on_duty);
     stop(&gateway, left, accepting).await;
     peers.broadcast(&PeerMessage::Ends {
-        node: gateway.settings.node.name.clone(),
+        node: gateway.cx.settings.node.name.clone(),
     });
     Ok(())
 }
@@ -186,7 +189,7 @@
 
 /// What other nodes have to know of this one.
 fn own_record(gateway: &Gateway) -> NodeRecord {
-    let settings = &gateway.settings;
+    let settings = &gateway.cx.settings;
     NodeRecord {
         node: settings.node.name.clone(),
         address: settings.listen.peers,
@@ -199,32 +202,32 @@
 /// Stops as planned. `left` ends once the node's keys are given back.
 async fn stop(gateway: &Rc<Gateway>, left: impl Future, accepting: tokio::task::JoinHandle<()>) {
     let began = Instant::now();
-    let bound = gateway.settings.bounds.stop();
+    let bound = gateway.cx.settings.bounds.stop();
     let last = began + bound.mul_f64(STOP_SHARE);
     let transactions = began + bound.mul_f64(TRANSACTIONS_SHARE);
-    gateway.events.write(&Event::Stopping {
+    gateway.cx.events.write(&Event::Stopping {
         sessions: gateway.sessions.open(),
     });
-    gateway.enter(StopPhase::Leaving);
+    gateway.cx.stop.enter(StopPhase::Leaving);
     // The leases run out by themselves if the store doesn't answer.
     let _ = tokio::time::timeout(LEAVE_LIMIT, left).await;
     tokio::time::sleep_until((began + NOTICED_AFTER).min(transactions)).await;
     accepting.abort();
-    gateway.enter(StopPhase::ClosingSessions);
+    gateway.cx.stop.enter(StopPhase::ClosingSessions);
     wait_for_sessions(gateway, transactions).await;
-    gateway.enter(StopPhase::EndingTransactions);
+    gateway.cx.stop.enter(StopPhase::EndingTransactions);
     wait_for_sessions(gateway, last).await;
     gateway.tell_counters();
-    gateway.events.write(&Event::Traffic {
-        sent_bytes: gateway.traffic.by_node(),
+    gateway.cx.events.write(&Event::Traffic {
+        sent_bytes: gateway.fleet.traffic.by_node(),
     });
-    gateway.events.write(&Event::Stopped {
+    gateway.cx.events.write(&Event::Stopped {
         sessions: gateway.sessions.open(),
     });
 }
 
 async fn wait_for_sessions(gateway: &Rc<Gateway>, until: Instant) {
-    while gateway.sessions.open() + gateway.calls.get() > 0 && Instant::now() < until {
+    while gateway.sessions.open() + gateway.fleet.calls.get() > 0 && Instant::now() < until {
         tokio::time::sleep(STOP_LOOK).await;
     }
 }
@@ -333,7 +336,7 @@
     }
 
     fn take_announcements(&self, update: StoreUpdate) {
-        let now = self.gateway.now();
+        let now = self.gateway.cx.now();
         let changes: Vec<DirectoryChange> = match update {
             StoreUpdate::All(entries) => {
                 let listed = entries.iter().filter_map(|entry| self.announcement(entry));
@@ -341,7 +344,12 @@
                 self.gateway.listed_now();
                 self.doubt_unlisted(&listed);
                 let replaced = listed.clone();
-                let changes = self.gateway.directory.borrow_mut().replaced(now, replaced);
+                let changes = self
+                    .gateway
+                    .databases
+                    .directory
+                    .borrow_mut()
+                    .replaced(now, replaced);
                 listed.iter().for_each(|it| self.gateway.heard_of_start(it));
                 changes
             }
@@ -349,7 +357,7 @@
                 let Some(announcement) = self.announcement(&entry) else {
                     return;
                 };
-                let mut directory = self.gateway.directory.borrow_mut();
+                let mut directory = self.gateway.databases.directory.borrow_mut();
                 let change = directory.announced(now, announcement.clone());
                 drop(directory);
                 self.gateway.heard_of_start(&announcement);
@@ -357,7 +365,11 @@
             }
             StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => {
                 if let Some(name) = self.documents.announced_database(&key.to_string()) {
-                    self.gateway.directory.borrow_mut().vanished(now, &name);
+                    self.gateway
+                        .databases
+                        .directory
+                        .borrow_mut()
+                        .vanished(now, &name);
                     self.gateway.start_is_unknown(&name);
                 }
                 Vec::new()
@@ -370,7 +382,7 @@
     }
 
     fn doubt_unlisted(&self, listed: &[Announcement]) {
-        for (name, loading) in self.gateway.loads.all() {
+        for (name, loading) in self.gateway.databases.loadings() {
             if listed
                 .iter()
                 .all(|announcement| announcement.database != name)
@@ -394,7 +406,7 @@
     }
 
     fn refuse(&self, key: &Key, reason: &str) {
-        self.gateway.events.write(&Event::DocumentRefused {
+        self.gateway.cx.events.write(&Event::DocumentRefused {
             key: &key.to_string(),
             reason,
         });
--- a/crates/dyketally-gateway/src/quota/mod.rs
+++ b/crates/dyketally-gateway/src/quota/mod.rs
@@ -52,7 +52,7 @@
         let mut allowances = self.allowances.borrow_mut();
         let allowance = allowances
             .entry(tenant.clone())
-            .or_insert_with(|| Allowance::new(gateway.now(), rand::random()));
+            .or_insert_with(|| Allowance::new(gateway.cx.now(), rand::random()));
         act(allowance)
     }
 }
@@ -66,7 +66,7 @@
     /// Takes in that the operation hasn't run.
     pub fn give_back(self) {
         if let Some((gateway, tenant)) = self.limited {
-            let now = gateway.now();
+            let now = gateway.cx.now();
             let quotas = &gateway.quotas;
             quotas.allowance(&gateway, &tenant, |allowance| allowance.give_back(now));
         }
@@ -95,15 +95,15 @@
             return Ok(Permit { limited: None });
         };
         let name = &tenant.name;
-        let now = self.now();
+        let now = self.cx.now();
         let held = |allowance: &mut Allowance| allowance.take(now);
         if !self.quotas.allowance(self, name, held) {
             let began = Instant::now();
             let obtained = self.obtain(name, quota, until).await;
-            self.measures.spent(Stage::Permit, began.elapsed());
+            self.cx.measures.spent(Stage::Permit, began.elapsed());
             obtained.inspect_err(|_| {
-                self.counters.over_quota.add();
-                self.measures.refused_over_quota(name);
+                self.cx.counters.over_quota.add();
+                self.cx.measures.refused_over_quota(name);
             })?;
         }
         Ok(Permit {
@@ -129,7 +129,7 @@
                 after,
                 strained,
             } => {
-                let now = self.now();
+                let now = self.cx.now();
                 self.quotas.allowance(self, tenant, |allowance| {
                     allowance.granted(now, operations, strained);
                 });
@@ -142,10 +142,10 @@
 
     /// Decides without an accountant.
     fn permit_alone(&self, tenant: &TenantName, quota: Quota) -> Result<(), QuotaExceeded> {
-        self.counters.permits_alone.add();
-        let nodes = u32::try_from(self.membership.node_count()).unwrap_or(u32::MAX);
+        self.cx.counters.permits_alone.add();
+        let nodes = u32::try_from(self.fleet.membership.node_count()).unwrap_or(u32::MAX);
         let nodes = nodes.max(NODES_ASSUMED);
-        let now = self.now();
+        let now = self.cx.now();
         let alone = |allowance: &mut Allowance| allowance.take_alone(now, quota, nodes);
         let taken = self.quotas.allowance(self, tenant, alone);
         taken.map_err(|retry_after| QuotaExceeded { retry_after })
@@ -159,9 +159,9 @@
         wanted: u32,
         role: Role,
     ) -> Option<Decision> {
-        let routes = self.routes();
+        let routes = self.cx.routes();
         let quota = routes.tenants.as_ref()?.tenant(tenant)?.quota?;
-        let now = self.now();
+        let now = self.cx.now();
         let reach = self.quotas.reach.share();
         let mut accountant = self.quotas.accountant.borrow_mut();
         let decision = accountant.decide(now, tenant, quota, wanted, role, reach);
--- a/crates/dyketally-gateway/src/quota/question.rs
+++ b/crates/dyketally-gateway/src/quota/question.rs
@@ -83,7 +83,7 @@
         wanted: u32,
         until: Instant,
     ) -> Option<Decision> {
-        let peers = self.peers.borrow().clone()?;
+        let peers = self.fleet.peers.borrow().clone()?;
         let questions = &self.quotas.questions;
         let mut role = Role::Accountant;
         for node in self.accountants(tenant) {
@@ -113,10 +113,10 @@
 
     /// The accountant of `tenant` and its stand-ins; `None` stands for this node.
     fn accountants(&self, tenant: &TenantName) -> Vec<Option<SocketAddr>> {
-        let nodes = self.membership.nodes();
+        let nodes = self.fleet.membership.nodes();
         let candidates = nodes.values().map(|node| node.candidate());
         let ranked = placement::accountants(tenant, candidates, ASKED_AT_MOST);
-        let own = &self.settings.node.name;
+        let own = &self.cx.settings.node.name;
         let addresses = ranked.into_iter().filter_map(|name| match name == own {
             true => Some(None),
             false => Some(Some(nodes.get(name)?.address)),
--- a/crates/dyketally-gateway/src/quota/reach.rs
+++ b/crates/dyketally-gateway/src/quota/reach.rs
@@ -40,13 +40,16 @@
     pub(super) fn find_reach(self: &Rc<Self>) {
         let reach = &self.quotas.reach;
         let is_recent = reach.asked.get().is_some_and(|at| at.elapsed() < INTERVAL);
-        let Some(peers) = self.peers.borrow().clone().filter(|_| !is_recent) else {
+        let Some(peers) = self.fleet.peers.borrow().clone().filter(|_| !is_recent) else {
             return;
         };
         reach.asked.set(Some(Instant::now()));
         let gateway = self.clone();
         tokio::task::spawn_local(async move {
-            let others = gateway.membership.others(&gateway.settings.node.name);
+            let others = gateway
+                .fleet
+                .membership
+                .others(&gateway.cx.settings.node.name);
             let asked: Vec<_> = others.choose_multiple(&mut rand::rng(), ASKED).collect();
             let mut replies = peers.collect_reach_replies();
             let question = PeerMessage::ReachAsked {
--- a/crates/dyketally-gateway/src/session/admission.rs
+++ b/crates/dyketally-gateway/src/session/admission.rs
@@ -22,15 +22,15 @@
 impl Admission {
     /// What a caller with `key` may use that asks for `database`; or what it is told instead.
     pub(super) fn of(gateway: &Gateway, database: &str, key: &ApiKey) -> Result<Self, Served> {
-        let routes = gateway.routes();
+        let routes = gateway.cx.routes();
         let Some(route) = routes.routes.get(database) else {
             return Err(Served::failed(
                 FailureKind::UnknownDatabase,
                 "no route leads to this database; check its name",
             ));
         };
-        if routes.needs_key(route) && !gateway.keys_hold() {
-            gateway.counters.keys_uncertain.add();
+        if routes.needs_key(route) && !gateway.cx.keys_hold() {
+            gateway.cx.counters.keys_uncertain.add();
             return Err(Served::key_uncertain());
         }
         match routes.identify(route, key) {
@@ -39,7 +39,7 @@
                 tenant,
             }),
             Err(unknown) => {
-                gateway.counters.unknown_keys.add();
+                gateway.cx.counters.unknown_keys.add();
                 Err(Served::failed(
                     FailureKind::Unauthenticated,
                     &unknown.to_string(),
@@ -51,6 +51,6 @@
     /// True while a transaction that was admitted may go on. It goes on by the configuration that held
     /// as it began, but not while the node can't know whether its key still stands.
     pub(super) fn holds(&self, gateway: &Gateway) -> bool {
-        self.tenant.is_none() || gateway.keys_hold()
+        self.tenant.is_none() || gateway.cx.keys_hold()
     }
 }
--- a/crates/dyketally-gateway/src/session/caller.rs
+++ b/crates/dyketally-gateway/src/session/caller.rs
@@ -64,9 +64,10 @@
             return None;
         };
         self.gateway
+            .cx
             .configured_by(Instant::now() + CONFIGURATION_WAIT)
             .await;
-        if !self.gateway.is_configured() {
+        if !self.gateway.cx.is_configured() {
             let served = Served::failed(
                 FailureKind::Overloaded,
                 "this node has no configuration yet; connect to another one, or again later",
@@ -138,7 +139,7 @@
 
     /// Sends the answer to a statement; `None` when the caller is gone.
     pub(super) async fn answer(&mut self, served: Served, state: TransactionState) -> Option<()> {
-        let counters = &self.gateway.counters;
+        let counters = &self.gateway.cx.counters;
         match served.end {
             Ok(_) => counters.served.add(),
             Err(_) => counters.failed.add(),
--- a/crates/dyketally-gateway/src/session/mod.rs
+++ b/crates/dyketally-gateway/src/session/mod.rs
@@ -2,7 +2,6 @@
 
 mod admission;
 mod caller;
-pub mod known_keys;
 mod sessions;
 
 use std::cell::Cell;
@@ -23,8 +22,9 @@
 use self::caller::{Caller, Next};
 use self::sessions::OpenSession;
 pub use self::sessions::Sessions;
+use crate::context::StopPhase;
 use crate::database::connection::prepare_socket;
-use crate::gateway::{Gateway, StopPhase};
+use crate::gateway::Gateway;
 use crate::ports::{CallerMessage, CallerStatement};
 use crate::quota::QuotaExceeded;
 use crate::statement::hand_over::HandOvers;
@@ -42,7 +42,7 @@
 pub fn accept(gateway: &Rc<Gateway>, stream: TcpStream) {
     let verdict = gateway.sessions.judge();
     if verdict != SessionVerdict::Serve {
-        gateway.counters.sessions_refused.add();
+        gateway.cx.counters.sessions_refused.add();
     }
     if verdict == SessionVerdict::Close {
         return;
@@ -60,7 +60,7 @@
 /// Serves one caller until it leaves or the process stops.
 async fn serve(gateway: Rc<Gateway>, stream: TcpStream, _open: OpenSession) {
     prepare_socket(&stream);
-    gateway.counters.sessions.add();
+    gateway.cx.counters.sessions.add();
     let mut caller = Caller::new(gateway.clone(), stream);
     if let Some(mut session) = caller.introduce().await {
         session.run(&mut caller).await;
@@ -93,7 +93,7 @@
             gateway: gateway.clone(),
             database,
             key,
-            connected: gateway.now(),
+            connected: gateway.cx.now(),
             values: BTreeMap::new(),
             prepared: HashMap::new(),
             transaction: None,
@@ -124,7 +124,7 @@
 
     async fn next(&self, caller: &mut Caller) -> Next {
         let rest_limit = match self.open_transaction() {
-            true => self.gateway.routes().transaction_idle,
+            true => self.gateway.cx.routes().transaction_idle,
             false => None,
         };
         let rested = async {
@@ -153,7 +153,7 @@
             true => StopPhase::EndingTransactions,
             false => StopPhase::ClosingSessions,
         };
-        self.gateway.entered(phase).await;
+        self.gateway.cx.stop.entered(phase).await;
     }
 
     fn end_rested_transaction(&mut self) {
@@ -235,7 +235,7 @@
             Ok(admission) => self.admission = Some(admission),
             Err(refused) => return (refused, TransactionState::Idle),
         }
-        self.transaction = Some(Transaction::new(read_only, self.gateway.now()));
+        self.transaction = Some(Transaction::new(read_only, self.gateway.cx.now()));
         (own_success(), TransactionState::Open)
     }
 
@@ -316,7 +316,7 @@
 
     /// Rolls back a transaction whose key may have been taken away unnoticed.
     fn give_up_uncertain(&self, transaction: &mut Transaction, request: &Request) -> Served {
-        self.gateway.counters.keys_uncertain.add();
+        self.gateway.cx.counters.keys_uncertain.add();
         transaction.roll_back();
         transaction.failed = true;
         let served = Served::rolled_back();
@@ -389,7 +389,7 @@
             text: statement.text,
             execution,
             values: self.values.clone(),
-            arrived: self.gateway.now(),
+            arrived: self.gateway.cx.now(),
             connected: self.connected,
             own_commit: self.own_commit,
             deadline: Instant::now() + route.statement_timeout,
--- a/crates/dyketally-gateway/src/session/sessions.rs
+++ b/crates/dyketally-gateway/src/session/sessions.rs
@@ -67,7 +67,7 @@
         let Self(gateway) = self;
         if gateway.sessions.set_open(open) {
             let full = gateway.sessions.is_full();
-            gateway.events.write(&Event::SessionsFull { full, open });
+            gateway.cx.events.write(&Event::SessionsFull { full, open });
         }
     }
 }
--- a/crates/dyketally-gateway/src/statement/checkout.rs
+++ b/crates/dyketally-gateway/src/statement/checkout.rs
@@ -5,58 +5,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dyketally::admission::Patience;
-use dyketally::eligibility::{Permission, ServingRegions};
+use dyketally::eligibility::Permission;
 use dyketally::identifiers::DatabaseName;
 use dyketally::statement::FailureKind;
 use tokio::time::Instant;
 
+use crate::database::batch::{Batch, Reset};
+use crate::database::claim::failure_kind;
+use crate::database::claim::{Claim, Refusal};
 use crate::database::connection::{Answer, Broken, OpenError, leave_idle};
 use crate::database::health::InFlight;
 use crate::database::loading::LONGEST_TURN;
 use crate::database::pool::{self, CheckoutError};
+use crate::database::target::Target;
 use crate::fleet::homes::Reach;
 use crate::fleet::link::{CallError, HomeCall};
 use crate::gateway::Gateway;
-use crate::ports::{DatabaseUser, OwnStatement};
-use crate::statement::batch::{Batch, Reset};
-use crate::statement::eligibility::failure_kind;
-use crate::statement::target::Target;
+use crate::ports::OwnStatement;
 
 /// Silence after which a primary is probed while a statement goes on waiting for it.
 const SILENCE: Duration = Duration::from_millis(200);
 /// Longest time that dropping a transaction may take before its connection is closed instead.
 const ROLLBACK_LIMIT: Duration = Duration::from_secs(2);
 
-/// Rank and patience of whoever wants a connection.
-#[derive(Clone, Debug)]
-pub struct Claim {
-    /// Rank under scarcity; 0 goes first.
-    pub priority: u32,
-    /// How long it may wait for a database to be reached.
-    pub until: Instant,
-    /// How long it may wait behind others.
-    pub patience: Patience,
-    /// What the connection is wanted for.
-    pub work: Work,
-    /// In whose name the connection must be open; `None` where any will do, as for statements of the
-    /// gateway's own.
-    pub user: Option<DatabaseUser>,
-    /// Through which regions' nodes it may go.
-    pub regions: ServingRegions,
-}
-
-/// What a connection is wanted for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Work {
-    /// A database's status and the steps of a succession, which a cold database gets at any time.
-    Control,
-    /// Single statements: the connection is free again once they are answered.
-    Statements,
-    /// A transaction, which keeps the connection for as long as its caller likes.
-    Transaction,
-}
-
 /// A connection in use. Dropping it closes the connection; [`Checkout::give_back`] keeps it.
 pub enum Checkout {
     /// Of this node's own pool.
@@ -179,7 +150,7 @@
                 CheckoutError::Exhausted => (FailureKind::NoConnection, false),
                 CheckoutError::QueueTooLong => (FailureKind::QueueTooLong, false),
                 CheckoutError::Denied(denial) => {
-                    self.counters.denied.add(denial.kind(), 1);
+                    self.cx.counters.denied.add(denial.kind(), 1);
                     (failure_kind(denial), false)
                 }
                 CheckoutError::Open(OpenError::TurnedAway(failure)) => {
@@ -262,12 +233,3 @@
         }
     }
 }
-
-/// Why no connection was handed out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Refusal {
-    /// What the caller may be told.
-    pub kind: FailureKind,
-    /// True when the database can't be reached.
-    pub unreachable: bool,
-}
--- a/crates/dyketally-gateway/src/statement/eligibility.rs
+++ b/crates/dyketally-gateway/src/statement/eligibility.rs
@@ -12,12 +12,11 @@
 };
 use dyketally::identifiers::{DatabaseName, GroupName, RegionName, ZoneName};
 use dyketally::route_policy::RoutePolicy;
-use dyketally::statement::FailureKind;
 use tokio::time::Instant;
 
+use crate::database::target::Target;
 use crate::event::Event;
 use crate::gateway::Gateway;
-use crate::statement::target::Target;
 
 /// Pause between two log lines on a group that no database may serve: each statement that is refused
 /// has a line of its own.
@@ -29,12 +28,12 @@
     /// # Errors
     /// Why it may not be sent; counted.
     pub fn may_send(&self, target: &Target, intent: &Intent) -> Result<Permission, Denial> {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let judged = match directory.member(&target.name) {
             Some(member) => self.judge(member, intent),
             None => Err(Denial::Leaving),
         };
-        judged.inspect_err(|denial| self.counters.denied.add(denial.kind(), 1))
+        judged.inspect_err(|denial| self.cx.counters.denied.add(denial.kind(), 1))
     }
 
     /// Whether what `intent` tells may be sent to `member`.
@@ -42,10 +41,10 @@
     /// # Errors
     /// Why it may not.
     pub fn judge(&self, member: &Member, intent: &Intent) -> Result<Permission, Denial> {
-        let now = self.now();
+        let now = self.cx.now();
         let announcement = &member.announcement;
         let region = self.region_of_zone(&announcement.zone);
-        let evacuations = self.evacuations.borrow();
+        let evacuations = self.databases.evacuations.borrow();
         let evacuated_for = evacuations.evacuated_for(&announcement.zone, now);
         let leaving_for = member
             .leaving_since
@@ -70,7 +69,7 @@
             let denial = self.primary_target(group, &intent.regions).err();
             return denial.filter(|denial| denial.is_lasting());
         }
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let mut lasting = None;
         for member in directory.members(group) {
             match self.judge(member, intent) {
@@ -88,33 +87,33 @@
 
     /// True when a database of `group` other than `database` could take over from it.
     pub fn has_successor(&self, group: &GroupName, database: &DatabaseName) -> bool {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let mut members = directory.members(group);
         members.any(|member| member.name() != database && self.may_serve(member))
     }
 
     /// True when a warm database of `group` other than `database` could take over from it.
     pub fn has_warm_successor(&self, group: &GroupName, database: &DatabaseName) -> bool {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let mut members = directory.members(group);
         members.any(|member| {
             let is_other = member.name() != database;
-            is_other && self.may_serve(member) && !self.loading(member.name()).is_cold()
+            is_other && self.may_serve(member) && !self.databases.loading(member.name()).is_cold()
         })
     }
 
     /// True while a zone is evacuated.
     pub fn is_evacuated(&self, zone: &ZoneName) -> bool {
-        self.evacuations.borrow().contains(zone)
+        self.databases.evacuations.borrow().contains(zone)
     }
 
     /// The region of a zone.
     pub fn region_of_zone(&self, zone: &ZoneName) -> RegionName {
-        self.settings.locality(zone).region
+        self.cx.settings.locality(zone).region
     }
 
     fn eligibility_bounds(&self) -> EligibilityBounds {
-        let bounds = &self.settings.bounds;
+        let bounds = &self.cx.settings.bounds;
         EligibilityBounds {
             drain: bounds.drain(),
             evacuation: bounds.evacuation(),
@@ -123,19 +122,23 @@
 
     /// Takes in all evacuations that operators request.
     pub fn evacuations_are(&self, zones: &BTreeSet<ZoneName>) {
-        let changes = self.evacuations.borrow_mut().replaced(zones);
+        let changes = self.databases.evacuations.borrow_mut().replaced(zones);
         self.evacuations_changed(changes);
     }
 
     /// Takes in that operators request the evacuation of a zone.
     pub fn evacuation_requested(&self, zone: ZoneName) {
-        let change = self.evacuations.borrow_mut().requested(self.now(), zone);
+        let change = self
+            .databases
+            .evacuations
+            .borrow_mut()
+            .requested(self.cx.now(), zone);
         self.evacuations_changed(change);
     }
 
     /// Takes in that a zone is used again.
     pub fn evacuation_taken_back(&self, zone: &ZoneName) {
-        let change = self.evacuations.borrow_mut().taken_back(zone);
+        let change = self.databases.evacuations.borrow_mut().taken_back(zone);
         self.evacuations_changed(change);
     }
 
@@ -145,23 +148,24 @@
             any = true;
             match change {
                 EvacuationChange::Began(zone) => self.evacuation_began(&zone),
-                EvacuationChange::Ended(zone) => self.events.write(&Event::EvacuationEnded {
+                EvacuationChange::Ended(zone) => self.cx.events.write(&Event::EvacuationEnded {
                     zone: zone.as_str(),
                 }),
             }
         }
         if any {
-            self.tell_change();
-            self.membership.attention.notify_one();
+            self.cx.changes.notify();
+            self.fleet.membership.attention.notify_one();
         }
     }
 
     fn evacuation_began(&self, zone: &ZoneName) {
-        let is_known = self.settings.zones.is_empty() || self.settings.zones.contains_key(zone);
-        let evacuations = self.evacuations.borrow();
-        let mut zones = self.settings.zones.keys();
+        let is_known =
+            self.cx.settings.zones.is_empty() || self.cx.settings.zones.contains_key(zone);
+        let evacuations = self.databases.evacuations.borrow();
+        let mut zones = self.cx.settings.zones.keys();
         let leaves_a_zone = zones.any(|zone| !evacuations.contains(zone));
-        self.events.write(&Event::EvacuationBegan {
+        self.cx.events.write(&Event::EvacuationBegan {
             zone: zone.as_str(),
             is_known,
             leaves_a_zone,
@@ -170,8 +174,8 @@
     }
 
     fn close_idle_in(&self, zone: &ZoneName) {
-        let directory = self.directory.borrow();
-        for (name, database) in self.databases.borrow().iter() {
+        let directory = self.databases.directory.borrow();
+        for (name, database) in self.databases.states.borrow().iter() {
             let member = directory.member(name);
             let in_zone = |member: &&Member| &member.announcement.zone == zone;
             let Some(member) = member.filter(in_zone) else {
@@ -187,10 +191,10 @@
 
     /// Logs regions that routes or tenants name and no zone has: nothing is served there.
     pub fn report_unknown_regions(&self) {
-        let known: BTreeSet<&RegionName> = self.settings.zones.values().collect();
-        let named = self.routes().named_regions();
+        let known: BTreeSet<&RegionName> = self.cx.settings.zones.values().collect();
+        let named = self.cx.routes().named_regions();
         for region in named.iter().filter(|region| !known.contains(region)) {
-            self.events.write(&Event::RegionUnknown {
+            self.cx.events.write(&Event::RegionUnknown {
                 region: region.as_str(),
             });
         }
@@ -203,14 +207,14 @@
         regions: &ServingRegions,
         denial: Denial,
     ) {
-        self.counters.denied.add(denial.kind(), 1);
-        let group = self.group(&route.group);
-        let told = group.told_nowhere.get();
+        self.cx.counters.denied.add(denial.kind(), 1);
+        let mut logged = self.unserved_logged.borrow_mut();
+        let told = logged.get(&route.group);
         if told.is_some_and(|told| told.elapsed() < TELL_INTERVAL) {
             return;
         }
-        group.told_nowhere.set(Some(Instant::now()));
-        self.events.write(&Event::ServedNowhere {
+        logged.insert(route.group.clone(), Instant::now());
+        self.cx.events.write(&Event::ServedNowhere {
             group: route.group.as_str(),
             route: &route.name,
             regions: regions.to_string(),
@@ -221,10 +225,10 @@
     /// True when a connection to `target` may go by way of the node at `address`: where regions are
     /// bound, only through the database's own region, which all that may run there may enter.
     pub fn may_relay(&self, address: SocketAddr, target: &Target) -> bool {
-        if !self.routes().binds_regions() {
+        if !self.cx.routes().binds_regions() {
             return true;
         }
-        let nodes = self.membership.nodes();
+        let nodes = self.fleet.membership.nodes();
         let mut nodes = nodes.values();
         let region = self.region_of_zone(&target.zone);
         nodes.any(|node| node.address == address && node.locality.region == region)
@@ -233,7 +237,7 @@
     /// The regions in which a successor of `primary` should lead: those that serve most of what may
     /// ask for it, of those that have a database which can take over.
     pub fn successor_regions(&self, primary: &Target) -> ServingRegions {
-        let routes = self.routes();
+        let routes = self.cx.routes();
         if !routes.binds_regions() {
             return ServingRegions::anywhere();
         }
@@ -248,7 +252,7 @@
         group: &GroupName,
         passed_over: Option<&DatabaseName>,
     ) -> Vec<RegionName> {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let members = directory.members(group);
         let usable =
             members.filter(|member| self.may_serve(member) && passed_over != Some(member.name()));
@@ -261,7 +265,7 @@
     /// Where the primary of a group should lead rather than in the region of `primary`, by what
     /// routes and tenants allow.
     pub fn preferred_regions(&self, primary: &Target) -> Option<ServingRegions> {
-        let routes = self.routes();
+        let routes = self.cx.routes();
         if !routes.binds_regions() {
             return None;
         }
@@ -272,12 +276,3 @@
         preferred.map(|region| ServingRegions::only([region]))
     }
 }
-
-/// What a caller's statement counts as when it was denied.
-pub fn failure_kind(denial: Denial) -> FailureKind {
-    match denial {
-        Denial::Cold => FailureKind::DatabaseCold,
-        lasting if lasting.is_lasting() => FailureKind::NotServedHere,
-        _ => FailureKind::Busy,
-    }
-}
--- a/crates/dyketally-gateway/src/statement/read.rs
+++ b/crates/dyketally-gateway/src/statement/read.rs
@@ -13,14 +13,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
+use crate::database::batch::{Batch, Step};
+use crate::database::claim::Work;
 use crate::database::connection::{Answer, Broken, leave_idle};
+use crate::database::target::Target;
 use crate::gateway::Gateway;
 use crate::ports::OwnStatement;
-use crate::statement::batch::{Batch, Step};
-use crate::statement::checkout::Work;
 use crate::statement::hand_over::HandOver;
 use crate::statement::request::{Request, Served, Stage};
-use crate::statement::target::Target;
 use crate::statement::write::{Attempt, RETRY_PAUSE};
 
 /// Longest wait for an answer before another database is asked as well.
@@ -130,7 +130,7 @@
             return false;
         };
         let group = &request.route.group;
-        let known = need.position(&self.group(group).observations.borrow());
+        let known = need.position(&self.databases.group(group).observations.borrow());
         self.has_untried(group, &request.regions, known, tried)
     }
 
@@ -141,13 +141,13 @@
     ) -> Option<(Target, Proof)> {
         let group = &request.route.group;
         let Some(need) = request.need() else {
-            self.counters.reads_bound_to_primaries.add();
+            self.cx.counters.reads_bound_to_primaries.add();
             let pause = Instant::now() + RETRY_PAUSE;
             let until = pause.min(request.give_up());
             let primary = self.primary_by(group, &request.regions, until).await;
             return Some((primary.ok()?, Proof::Leads));
         };
-        let state = self.group(group);
+        let state = self.databases.group(group);
         let known = need.position(&state.observations.borrow());
         let first = self.first_untried(group, &request.regions, known, tried)?;
         if let Some(position) = known {
@@ -186,7 +186,7 @@
             ],
         };
         let batch = Batch::of(request.context(), steps);
-        let sent = self.now();
+        let sent = self.cx.now();
         let exchange = request.exchange(self, &mut checkout, target, &batch, Stage::First);
         let (answers, hand_over) = match exchange.await {
             Ok(answered) => answered,
@@ -225,18 +225,19 @@
         {
             hand_over.rejected();
             if failure.kind == FailureKind::ReplicaBehind {
-                self.counters.reads_behind.add();
+                self.cx.counters.reads_behind.add();
                 target.state.was_behind(position);
-                self.replica_showed(&target.group, position, false);
+                self.databases
+                    .replica_showed(&target.group, position, false);
             }
             return Attempt::NotRun(failure.kind);
         }
         target.state.was_fresh();
         match target.leads {
-            true => self.counters.reads_at_primaries.add(),
+            true => self.cx.counters.reads_at_primaries.add(),
             false => {
-                self.counters.reads_at_replicas.add();
-                self.replica_showed(&target.group, position, true);
+                self.cx.counters.reads_at_replicas.add();
+                self.databases.replica_showed(&target.group, position, true);
             }
         }
         Attempt::Answered(answer)
@@ -265,8 +266,8 @@
             (Some(_), _) => Attempt::Lost(Broken::new("the database doesn't lead its group")),
             (None, None) if !self.is_upheld(target).await => Attempt::Lost(Broken::replaced()),
             (None, None) => {
-                self.counters.reads_at_primaries.add();
-                self.observe(&target.group, answer.position, sent);
+                self.cx.counters.reads_at_primaries.add();
+                self.databases.observe(&target.group, answer.position, sent);
                 Attempt::Answered(answer)
             }
             (None, Some(_)) => Attempt::Answered(answer),
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -17,16 +17,17 @@
 use dyketally::time::Timestamp;
 use tokio::time::Instant;
 
+use crate::database::batch::{Batch, SessionContext, Step};
+use crate::database::claim::failure_kind;
+use crate::database::claim::{Claim, Work};
 use crate::database::connection::Answer;
+use crate::database::target::Target;
 use crate::event::Event;
 use crate::gateway::Gateway;
 use crate::measures::tenant_label;
 use crate::ports::DatabaseUser;
-use crate::statement::batch::{Batch, SessionContext, Step};
-use crate::statement::checkout::{Checkout, Claim, Unanswered, Work};
-use crate::statement::eligibility::failure_kind;
+use crate::statement::checkout::{Checkout, Unanswered};
 use crate::statement::hand_over::{HandOver, HandOvers, Unrun};
-use crate::statement::target::Target;
 
 /// Left of the statement's time when a statement that isn't running is given up.
 const ANSWER_RESERVE: Duration = Duration::from_millis(30);
@@ -261,7 +262,7 @@
     /// here or at the database, and it would be late if it waited longer.
     pub fn is_hopeless(&self, gateway: &Gateway, refusal: FailureKind) -> bool {
         let limit = self.route.latency_objective.mul_f64(REFUSED_AFTER_SHARE);
-        let elapsed = gateway.now().saturating_since(self.arrived);
+        let elapsed = gateway.cx.now().saturating_since(self.arrived);
         match refusal {
             FailureKind::QueueTooLong | FailureKind::NotServedHere | FailureKind::DatabaseCold => {
                 true
@@ -331,21 +332,25 @@
     /// Counts an attempt at a database.
     pub fn attempt(&self, gateway: &Gateway) {
         if self.attempts.get() > 0 {
-            gateway.counters.further_attempts.add();
+            gateway.cx.counters.further_attempts.add();
         }
         self.attempts.set(self.attempts.get() + 1);
     }
 
     /// Measures what the caller is told, and logs it if it isn't an ordinary success.
     pub fn log(&self, gateway: &Gateway, served: &Served, reason: &str) {
-        let elapsed = gateway.now().saturating_since(self.arrived);
-        gateway.measures.answered(&self.route.name, served, elapsed);
+        let elapsed = gateway.cx.now().saturating_since(self.arrived);
+        let failed = served.end.as_ref().err().map(|failure| failure.kind);
+        gateway
+            .cx
+            .measures
+            .answered(&self.route.name, failed, elapsed);
         let outcome = match &served.end {
             Ok(_) if self.attempts.get() <= 1 => return,
             Ok(_) => "served".to_owned(),
             Err(failure) => format!("{:?}", failure.kind),
         };
-        gateway.events.write(&Event::StatementDecided {
+        gateway.cx.events.write(&Event::StatementDecided {
             id: &String::from_utf8_lossy(&self.id),
             group: self.route.group.as_str(),
             tenant: tenant_label(self.tenant.as_ref().map(|tenant| &tenant.name)),
--- a/crates/dyketally-gateway/src/statement/target.rs
+++ b/crates/dyketally-gateway/src/statement/target.rs
@@ -6,11 +6,11 @@
 use dyketally::directory::{Member, MemberState};
 use dyketally::eligibility::{Denial, Intent, ServingRegions};
 use dyketally::group::LogPosition;
-use dyketally::identifiers::{DatabaseName, GroupName, ZoneName};
+use dyketally::identifiers::{DatabaseName, GroupName};
 use dyketally::placement::Distance;
 use tokio::time::Instant;
 
-use crate::database::health::DatabaseState;
+use crate::database::target::Target;
 use crate::gateway::Gateway;
 
 /// Added to the estimate of a database in another region, whose traffic is dear.
@@ -24,21 +24,6 @@
 /// How often a group without a known primary is searched for one.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(120);
 
-/// A database that a statement may be sent to.
-#[derive(Clone)]
-pub struct Target {
-    /// Its name.
-    pub name: DatabaseName,
-    /// Its group.
-    pub group: GroupName,
-    /// Where it runs.
-    pub zone: ZoneName,
-    /// The database as this node uses it.
-    pub state: Rc<DatabaseState>,
-    /// True when it is believed to lead.
-    pub leads: bool,
-}
-
 impl Gateway {
     /// The database that leads `group`, if it may get new work that `regions` bind.
     ///
@@ -49,7 +34,7 @@
         group: &GroupName,
         regions: &ServingRegions,
     ) -> Result<Target, Denial> {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let Some(primary) = directory.primary(group) else {
             return Err(self.without_primary(group));
         };
@@ -64,7 +49,7 @@
 
     /// Why a group without a known primary has none.
     fn without_primary(&self, group: &GroupName) -> Denial {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let mut ready = directory
             .members(group)
             .filter(|member| member.state == MemberState::Ready)
@@ -98,7 +83,7 @@
             }
             self.search_primary(group);
             let pause = (Instant::now() + SEARCH_INTERVAL).min(until);
-            self.next_change(pause).await;
+            self.cx.changes.next(pause).await;
         }
     }
 
@@ -110,7 +95,7 @@
         regions: &ServingRegions,
         needed: Option<LogPosition>,
     ) -> Vec<Target> {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let primary = directory
             .primary(group)
             .map(|primary| primary.name().clone());
@@ -118,7 +103,8 @@
         let ready = directory
             .members(group)
             .filter(|member| self.judge(member, &intent).is_ok());
-        let is_too_new = self.age_of(group, needed) < self.replica_lag.get().value(self.now());
+        let is_too_new = self.databases.age_of(group, needed)
+            < self.databases.replica_lag.get().value(self.cx.now());
         let mut ranked: Vec<(f64, Target)> = ready
             .map(|member| {
                 let leads = primary.as_ref() == Some(member.name());
@@ -177,7 +163,7 @@
             .state
             .latency_estimate(expected, member.announcement.slots);
         if target.leads {
-            rank += self.settings.reads.primary_penalty_ms;
+            rank += self.cx.settings.reads.primary_penalty_ms;
         }
         if self.distance(member) == Distance::OtherRegion {
             rank += REGION_PENALTY_MS;
@@ -197,7 +183,7 @@
     /// Whether a read may go to `target` before warm databases: not while it is cold, and then more and
     /// more often.
     fn draws(&self, target: &Target) -> bool {
-        let share = self.loading(&target.name).share();
+        let share = self.databases.loading(&target.name).share();
         share >= 1.0 || rand::random_bool(share)
     }
 
@@ -230,7 +216,7 @@
 
     /// How far a member is from this node.
     pub fn distance(&self, member: &Member) -> Distance {
-        let place = self.settings.locality(&member.announcement.zone);
-        Distance::between(&self.settings.own_locality(), &place)
+        let place = self.cx.settings.locality(&member.announcement.zone);
+        Distance::between(&self.cx.settings.own_locality(), &place)
     }
 }
--- a/crates/dyketally-gateway/src/statement/transaction.rs
+++ b/crates/dyketally-gateway/src/statement/transaction.rs
@@ -11,14 +11,15 @@
 use tokio::time::Instant;
 use tokio::time::error::Elapsed;
 
+use crate::database::batch::{Batch, Flow, Reset, Step};
+use crate::database::claim::Work;
 use crate::database::connection::{Answer, Broken};
+use crate::database::target::Target;
 use crate::gateway::Gateway;
 use crate::ports::OwnStatement;
 use crate::quota::Permit;
-use crate::statement::batch::{Batch, Flow, Reset, Step};
-use crate::statement::checkout::{Checkout, Unanswered, Work};
+use crate::statement::checkout::{Checkout, Unanswered};
 use crate::statement::request::{Request, Served, Stage};
-use crate::statement::target::Target;
 use crate::statement::write::RETRY_PAUSE;
 
 /// A transaction of a session.
@@ -219,7 +220,7 @@
         request.attempt(gateway);
         let mut batch = Batch::of(request.context(), vec![request.step(None)]);
         batch.reset = reset;
-        let sent = gateway.now();
+        let sent = gateway.cx.now();
         let (checkout, target) = (&mut bound.checkout, &bound.target);
         let exchange = request.exchange(gateway, checkout, target, &batch, Stage::Further);
         let (mut answers, hand_over) = exchange.await.ok()?;
@@ -228,7 +229,9 @@
             hand_over.rejected();
         }
         if bound.leads && answer.end.is_ok() && gateway.surely_leads(&bound.target) {
-            gateway.observe(&bound.target.group, answer.position, sent);
+            gateway
+                .databases
+                .observe(&bound.target.group, answer.position, sent);
         }
         Some(answer)
     }
@@ -272,7 +275,7 @@
             if Instant::now() + RETRY_PAUSE >= request.give_up() {
                 return Err("no database took the transaction in time");
             }
-            gateway.next_change(Instant::now() + RETRY_PAUSE).await;
+            gateway.cx.changes.next(Instant::now() + RETRY_PAUSE).await;
         }
     }
 
@@ -299,7 +302,7 @@
         let mut batch = Batch::of(request.context(), steps);
         batch.flow = Flow::UntilFailure;
         batch.reset = self.reset_after_failure();
-        let sent = gateway.now();
+        let sent = gateway.cx.now();
         let exchange = request.exchange(gateway, &mut checkout, &target, &batch, Stage::First);
         let (answers, hand_over) = match exchange.await {
             Ok(answered) => answered,
@@ -329,7 +332,9 @@
             return First::NotRun(FailureKind::ReadOnly);
         }
         if leads {
-            gateway.observe(&target.group, begun.position, sent);
+            gateway
+                .databases
+                .observe(&target.group, begun.position, sent);
         }
         self.bound = Some(Bound {
             checkout,
@@ -340,7 +345,9 @@
             return First::Lost;
         };
         if leads && answer.end.is_ok() && gateway.surely_leads(&target) {
-            gateway.observe(&target.group, answer.position, sent);
+            gateway
+                .databases
+                .observe(&target.group, answer.position, sent);
         }
         match &answer.end {
             Err(failure) if failure.kind.not_run() => {
@@ -370,7 +377,7 @@
             return false;
         };
         let group = &request.route.group;
-        let known = need.position(&gateway.group(group).observations.borrow());
+        let known = need.position(&gateway.databases.group(group).observations.borrow());
         gateway.has_untried(group, &request.regions, known, tried)
     }
 
@@ -386,7 +393,7 @@
             let primary = gateway.primary_by(group, &request.regions, until).await;
             return Some((primary.ok()?, None));
         };
-        let state = gateway.group(group);
+        let state = gateway.databases.group(group);
         let mut position = need.position(&state.observations.borrow());
         if position.is_none() {
             let asked = gateway.ensure_observation(group, need.covered, request.give_up());
--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -6,12 +6,13 @@
 use dyketally::statement::{FailureKind, TransactionState};
 use tokio::time::Instant;
 
+use crate::database::batch::Batch;
+use crate::database::claim::Work;
 use crate::database::connection::{Answer, Broken};
+use crate::database::target::Target;
 use crate::gateway::Gateway;
-use crate::statement::batch::Batch;
-use crate::statement::checkout::{Checkout, Unanswered, Work};
+use crate::statement::checkout::{Checkout, Unanswered};
 use crate::statement::request::{Request, Served, Stage};
-use crate::statement::target::Target;
 
 /// Pause before a statement that was not run is sent again.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(25);
@@ -32,7 +33,11 @@
         let mut refusal = FailureKind::Busy;
         loop {
             let group = &request.route.group;
-            let patience = self.group(group).unled.wait_until(request.give_up());
+            let patience = self
+                .databases
+                .group(group)
+                .unled
+                .wait_until(request.give_up());
             let target = match self.primary_by(group, &request.regions, patience).await {
                 Ok(target) => target,
                 Err(denial) if denial.is_lasting() => {
@@ -40,7 +45,7 @@
                     return request.refuse(FailureKind::NotServedHere);
                 }
                 Err(_) => {
-                    self.group(group).unled.missed();
+                    self.databases.group(group).unled.missed();
                     return request.refuse(refusal);
                 }
             };
@@ -59,7 +64,7 @@
             if Instant::now() + RETRY_PAUSE >= request.give_up() {
                 return request.refuse(refusal);
             }
-            self.next_change(Instant::now() + RETRY_PAUSE).await;
+            self.cx.changes.next(Instant::now() + RETRY_PAUSE).await;
         }
     }
 
@@ -70,7 +75,7 @@
         };
         let batch = Batch::of(request.context(), vec![request.step(None)]);
         request.attempt(self);
-        let sent = self.now();
+        let sent = self.cx.now();
         let exchange = request.exchange(self, &mut checkout, target, &batch, Stage::First);
         let (mut answers, hand_over) = match exchange.await {
             Ok(answered) => answered,
@@ -84,7 +89,7 @@
         }
         match &answer.end {
             Ok(_) if !self.is_upheld(target).await => return Attempt::Lost(Broken::replaced()),
-            Ok(_) => self.observe(&target.group, answer.position, sent),
+            Ok(_) => self.databases.observe(&target.group, answer.position, sent),
             Err(failure) if failure.kind.not_run() => {
                 hand_over.rejected();
                 if failure.kind == FailureKind::ReadOnly {
--- a/crates/dyketally-gateway/src/store/feed/follow.rs
+++ b/crates/dyketally-gateway/src/store/feed/follow.rs
@@ -14,7 +14,7 @@
 use crate::fleet::link::frames;
 use crate::fleet::relay::{self, Opening};
 use crate::gateway::Gateway;
-use crate::store::follow::StoreUpdate;
+use dyketally_store::update::StoreUpdate;
 
 /// Longest time that connecting to a relay may take.
 pub(super) const CONNECT_LIMIT: Duration = Duration::from_millis(400);
@@ -74,7 +74,7 @@
                     }
                 }
             }
-            let changed = self.gateway.membership.nodes_changed.notified();
+            let changed = self.gateway.fleet.membership.nodes_changed.notified();
             // Either way it is time to look again.
             let _ = tokio::time::timeout(SEARCH_INTERVAL, changed).await;
         }
@@ -119,6 +119,7 @@
             let relay = relay.to_string();
             let reason = ended.reason;
             self.gateway
+                .cx
                 .events
                 .write(&Event::RelayLost { relay, reason });
         }
--- a/crates/dyketally-gateway/src/store/feed/following.rs
+++ b/crates/dyketally-gateway/src/store/feed/following.rs
@@ -14,10 +14,10 @@
 use super::nearer::until_nearer_relay;
 use super::pings::{Heard, Pings};
 use super::{Form, OUT_OF_TOUCH, SUBJECTS, Source, Subject};
+use crate::context::contact::RelayContact;
 use crate::event::Event;
 use crate::fleet::link::Frames;
-use crate::store::follow::StoreUpdate;
-use crate::succession::lead::RelayContact;
+use dyketally_store::update::StoreUpdate;
 
 /// Pause between two pings. A contact with the store holds for 2.9 s; the relay's own is at most
 /// 0.8 s old, so three pings may be lost.
@@ -178,7 +178,7 @@
             // Ranking all nodes behind each of many changes would cost more than they do.
             if looked.elapsed() >= SEARCH_INTERVAL {
                 looked = Instant::now();
-                if gateway.membership.is_known() && !gateway.may_follow_relays() {
+                if gateway.fleet.membership.is_known() && !gateway.may_follow_relays() {
                     let reason = "this node watches the store itself now";
                     return Ended::left(reason, Next::Store);
                 }
@@ -195,13 +195,13 @@
             true => PING_INTERVAL_IN_OUTAGE,
             false => PING_INTERVAL,
         };
-        let access = &self.follower.gateway.settings.access;
+        let access = &self.follower.gateway.cx.settings.access;
         let confirmed_each = access.key_policy().confirmed_each();
         confirmed_each.map_or(interval, |each| interval.min(each))
     }
 
     async fn send_ping(&mut self) -> Option<()> {
-        let number = self.pings.send(self.follower.gateway.now());
+        let number = self.pings.send(self.follower.gateway.cx.now());
         let ping = Ping { number };
         let message = match number {
             1 => {
@@ -281,12 +281,12 @@
             let stepped_back = gateway.may_watch_again();
             gateway.feed.stepped_back.set(stepped_back);
             let relay = self.relay.to_string();
-            gateway.events.write(&Event::RelayFollowed { relay });
+            gateway.cx.events.write(&Event::RelayFollowed { relay });
             // A node that has just joined has heard from the store, but none of its news. What a former
             // relay vouched for holds under the next one, too: to drop it would isolate the node for as
             // long as it takes to catch up.
             if self.in_outage && !self.follower.was_vouched_for.get() {
-                gateway.disregard_store();
+                gateway.cx.contact.disregard_store();
             }
         }
     }
@@ -298,7 +298,7 @@
             && has_configuration
         {
             let gateway = &self.follower.gateway;
-            gateway.keys_confirmed_by_relay(asked, age);
+            gateway.cx.keys_confirmed_by_relay(asked, age);
         }
     }
 
--- a/crates/dyketally-gateway/src/store/feed/message.rs
+++ b/crates/dyketally-gateway/src/store/feed/message.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Subject;
-use crate::succession::lead::RelayContact;
+use crate::context::contact::RelayContact;
 
 /// Messages from this length on are compressed, in bytes: a configuration may have hundreds of
 /// kilobytes, and a relay sends it to all of its followers.
--- a/crates/dyketally-gateway/src/store/feed/mod.rs
+++ b/crates/dyketally-gateway/src/store/feed/mod.rs
@@ -27,14 +27,15 @@
 use tokio::sync::{Notify, broadcast, watch};
 use tokio::time::Instant;
 
+pub use crate::event::Form;
 pub use follow::{Follower, Sink};
-pub use news::{Form, Source};
+pub use news::Source;
 pub use relays::ask_seeds;
 pub use serve::serve;
 
 use crate::fleet::passed_over::PassedOver;
-use crate::store::follow::StoreUpdate;
 use copy::{Copy, OwnWatch};
+use dyketally_store::update::StoreUpdate;
 use message::{Digest, FeedMessage, Patch, encode};
 use news::PassedOn;
 
--- a/crates/dyketally-gateway/src/store/feed/news.rs
+++ b/crates/dyketally-gateway/src/store/feed/news.rs
@@ -5,12 +5,11 @@
 use std::net::SocketAddr;
 
 use dyketally_store::key_value::{Entry, StoreRevision, WatchEvent};
-use serde::Serialize;
 
 use super::Subject;
-use crate::event::Event;
+use crate::event::{Event, Form};
 use crate::gateway::Gateway;
-use crate::store::follow::StoreUpdate;
+use dyketally_store::update::StoreUpdate;
 
 /// Who told this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,18 +29,6 @@
     }
 }
 
-/// How much of a subject a message holds.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Form {
-    /// All keys.
-    Copy,
-    /// One key with its new value.
-    Change,
-    /// One key with what is new in its value.
-    Difference,
-}
-
 /// A message that was handed to the connections of all followers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PassedOn {
@@ -84,7 +71,7 @@
         for entry in entries {
             let known = self.feed.modified(Subject::Configuration, &entry.key);
             if known.is_none_or(|known| known < entry.modified) {
-                self.events.write(&Event::ConfigurationReceived {
+                self.cx.events.write(&Event::ConfigurationReceived {
                     key: entry.key.to_string(),
                     stored: entry.modified.0,
                     source: source.to_string(),
@@ -97,7 +84,7 @@
 
     fn tell_passed_on(&self, subject: Subject, stored: StoreRevision, passed_on: PassedOn) {
         if subject == Subject::Configuration {
-            self.events.write(&Event::ConfigurationPassedOn {
+            self.cx.events.write(&Event::ConfigurationPassedOn {
                 stored: stored.0,
                 form: passed_on.form,
                 bytes: passed_on.bytes,
--- a/crates/dyketally-gateway/src/store/feed/relays.rs
+++ b/crates/dyketally-gateway/src/store/feed/relays.rs
@@ -24,7 +24,7 @@
 impl Gateway {
     /// True while every node watches the store itself.
     pub fn is_small_fleet(&self) -> bool {
-        self.membership.node_count() <= SMALL_FLEET
+        self.fleet.membership.node_count() <= SMALL_FLEET
     }
 
     /// True when this node watches the store for others of its zone.
@@ -33,21 +33,25 @@
     }
 
     fn is_relay_of_zone(&self) -> bool {
-        let nodes = self.membership.nodes();
+        let nodes = self.fleet.membership.nodes();
         let candidates = nodes.values().map(|node| node.candidate());
-        let relays = placement::relays(&self.settings.own_locality(), candidates, RELAYS_PER_ZONE);
-        relays.contains(&&self.settings.node.name)
+        let relays = placement::relays(
+            &self.cx.settings.own_locality(),
+            candidates,
+            RELAYS_PER_ZONE,
+        );
+        relays.contains(&&self.cx.settings.node.name)
     }
 
     /// True when there may be relays that this node should follow: it is none itself, or one that has
     /// lost the store or its news while others may not have. The holder of the duty counts as in touch by its own
     /// calls alone, so it has its news from the store as well.
     pub fn may_follow_relays(&self) -> bool {
-        let holds_duty = self.membership.last_duty().is_some();
+        let holds_duty = self.fleet.membership.last_duty().is_some();
         // That the store renews a lease doesn't show that its news arrive: a large configuration over a
         // thin link may not, and the relay would act by an old one.
         let hears =
-            !self.has_lost_store_for(OUT_OF_TOUCH) && !self.feed.lacks_news_for(OUT_OF_TOUCH);
+            !self.cx.has_lost_store_for(OUT_OF_TOUCH) && !self.feed.lacks_news_for(OUT_OF_TOUCH);
         let watches = self.is_relay_of_zone() && hears;
         !holds_duty && !self.is_small_fleet() && !watches
     }
@@ -55,15 +59,15 @@
     /// True for a relay that the store replies to. If it follows another one since its own watch was lost,
     /// it should see from time to time whether it can watch again.
     pub(super) fn may_watch_again(&self) -> bool {
-        self.is_relay() && !self.has_lost_store_for(OUT_OF_TOUCH)
+        self.is_relay() && !self.cx.has_lost_store_for(OUT_OF_TOUCH)
     }
 
     /// Waits until it is clear that this node has no relay to follow. When the whole system starts
     /// the list of the nodes is incomplete for a while, so then only a relay is sure of that.
     pub async fn until_without_relay(&self) {
         loop {
-            let changed = self.membership.nodes_changed.notified();
-            let is_known = self.membership.is_known() && !self.settings.node.first_start;
+            let changed = self.fleet.membership.nodes_changed.notified();
+            let is_known = self.fleet.membership.is_known() && !self.cx.settings.node.first_start;
             if self.is_relay() || (is_known && !self.may_follow_relays()) {
                 return;
             }
@@ -75,16 +79,16 @@
     /// some of others. None in a small fleet, and for a relay. While the store hasn't told which nodes
     /// run, those that seeds named.
     pub(super) fn relays_to_follow(&self) -> Vec<SocketAddr> {
-        let own = self.settings.listen.peers;
+        let own = self.cx.settings.listen.peers;
         let usable =
             |address: &SocketAddr| *address != own && !self.feed.passed_over.contains(address);
-        match self.membership.is_known() {
+        match self.fleet.membership.is_known() {
             false => {
-                let named = self.membership.named_relays().into_iter();
+                let named = self.fleet.membership.named_relays().into_iter();
                 named.filter(usable).collect()
             }
             true if self.may_follow_relays() => {
-                self.ranked_relays(&self.settings.node.zone, usable)
+                self.ranked_relays(&self.cx.settings.node.zone, usable)
             }
             true => Vec::new(),
         }
@@ -92,11 +96,11 @@
 
     /// The usable relays of this node's zone, the best first; none while it should follow none.
     pub(super) fn relays_of_own_zone(&self) -> Vec<SocketAddr> {
-        if !self.membership.is_known() || !self.may_follow_relays() {
+        if !self.fleet.membership.is_known() || !self.may_follow_relays() {
             return Vec::new();
         }
-        let nodes = self.membership.nodes();
-        let zone = &self.settings.node.zone;
+        let nodes = self.fleet.membership.nodes();
+        let zone = &self.cx.settings.node.zone;
         let is_near = |relay: &SocketAddr| {
             let node = nodes.values().find(|node| node.address == *relay);
             node.is_some_and(|node| &node.locality.zone == zone)
@@ -110,7 +114,7 @@
     /// The relays that a node of `zone` may follow. In a small fleet any node's copy will do.
     pub fn relays_for(&self, zone: &ZoneName) -> Vec<SocketAddr> {
         match self.is_small_fleet() {
-            true if self.feed.is_relaying() => vec![self.settings.listen.peers],
+            true if self.feed.is_relaying() => vec![self.cx.settings.listen.peers],
             true => Vec::new(),
             false => self.ranked_relays(zone, |_| true),
         }
@@ -123,14 +127,18 @@
         zone: &ZoneName,
         usable: impl Fn(&SocketAddr) -> bool,
     ) -> Vec<SocketAddr> {
-        let nodes = self.membership.nodes();
-        let own = &self.settings.node.name;
+        let nodes = self.fleet.membership.nodes();
+        let own = &self.cx.settings.node.name;
         let relays_of = |zone: &ZoneName| {
             let candidates = nodes.values().map(|node| node.candidate());
-            placement::relays(&self.settings.locality(zone), candidates, RELAYS_PER_ZONE)
+            placement::relays(
+                &self.cx.settings.locality(zone),
+                candidates,
+                RELAYS_PER_ZONE,
+            )
         };
         let mut others: Vec<&NodeName> = Vec::new();
-        for other in self.settings.zones.keys().filter(|other| *other != zone) {
+        for other in self.cx.settings.zones.keys().filter(|other| *other != zone) {
             others.extend(relays_of(other));
         }
         let ranked = |relays: &[&NodeName]| -> Vec<SocketAddr> {
@@ -147,12 +155,12 @@
 /// Asks seeds whom to follow until this node follows somebody, or the store tells which nodes run.
 pub async fn ask_seeds(gateway: Rc<Gateway>, peers: Rc<Peers>) {
     let message = PeerMessage::RelaysAsked {
-        zone: gateway.settings.node.zone.clone(),
+        zone: gateway.cx.settings.node.zone.clone(),
     };
-    let seeds = gateway.settings.seeds();
+    let seeds = gateway.cx.settings.seeds();
     // The store mostly answers sooner.
     tokio::time::sleep(SEEDS_PAUSE).await;
-    while !gateway.membership.is_known() && !gateway.feed.is_fed() {
+    while !gateway.fleet.membership.is_known() && !gateway.feed.is_fed() {
         for seed in &seeds {
             peers.send(*seed, &message);
         }
--- a/crates/dyketally-gateway/src/store/feed/serve.rs
+++ b/crates/dyketally-gateway/src/store/feed/serve.rs
@@ -27,7 +27,7 @@
 /// Serves a node that follows this one, for as long as this one watches the store itself. A relay
 /// goes on while the store is lost, and tells so: that all its followers ask the store helps nobody.
 pub async fn serve(gateway: Rc<Gateway>, stream: TcpStream) {
-    let may_serve = || gateway.feed.is_relaying() && !gateway.is_stopping();
+    let may_serve = || gateway.feed.is_relaying() && !gateway.cx.stop.is_stopping();
     // When many nodes start at once followers tend to come before their relay has read everything.
     let copies = gateway.until_relaying();
     if tokio::time::timeout(COPIES_LIMIT, copies).await.is_err() || !may_serve() {
@@ -39,7 +39,7 @@
     let (mut sink, mut pings) = frames(stream).split();
     // A follower that looks for a relay in touch with the store leaves behind this, and shouldn't have
     // been sent all the rest.
-    let sent = |kind, bytes| gateway.count_sent(kind, follower, bytes);
+    let sent = |kind, bytes| gateway.fleet.count_sent(kind, follower, bytes);
     if send(&sent, PONG, &mut sink, encode(&gateway.pong(0)))
         .await
         .is_none()
@@ -100,11 +100,11 @@
 impl Gateway {
     /// Waits until this node has read all that it passes on, if it is a relay or may turn out to be one.
     async fn until_relaying(&self) {
-        let may_relay = || !self.membership.is_known() || self.is_relay();
+        let may_relay = || !self.fleet.membership.is_known() || self.is_relay();
         while !self.feed.is_relaying() && !self.feed.is_fed() && may_relay() {
             tokio::select! {
                 () = self.feed.copies_changed.notified() => {}
-                () = self.membership.nodes_changed.notified() => {}
+                () = self.fleet.membership.nodes_changed.notified() => {}
             }
         }
     }
@@ -122,7 +122,7 @@
         FeedMessage::Pong {
             ping,
             contact,
-            configuration_age: self.configuration_age(),
+            configuration_age: self.cx.configuration_age(),
         }
     }
 }
--- a/crates/dyketally-gateway/src/store/follow.rs
+++ b/crates/dyketally-gateway/src/store/follow.rs
@@ -8,9 +8,10 @@
 use dyketally::time::Timestamp;
 use dyketally_store::StoreError;
 use dyketally_store::key_value::{
-    Consistency, Entry, Key, KeyRange, KeyValueStore, RangeRequest, StoreRevision, WatchEvent,
+    Consistency, Key, KeyRange, KeyValueStore, RangeRequest, StoreRevision, WatchEvent,
     WatchRequest, WatchStream,
 };
+use dyketally_store::update::StoreUpdate;
 use futures::StreamExt;
 use rand::Rng;
 use tokio::time::Instant;
@@ -64,28 +65,6 @@
 /// How long a node of a large fleet waits for a relay once the store is back, before it asks itself.
 const RELAY_LIMIT: Duration = Duration::from_millis(1_200);
 
-/// What a follower is told.
-pub enum StoreUpdate {
-    /// These are all keys now.
-    All(Vec<Entry>),
-    /// One key changed.
-    Changed(WatchEvent),
-}
-
-impl StoreUpdate {
-    /// The store's revision of the newest change in it; zero if it holds no keys.
-    pub fn newest(&self) -> StoreRevision {
-        match self {
-            Self::All(entries) => {
-                let revisions = entries.iter().map(|entry| entry.modified);
-                revisions.max().unwrap_or_default()
-            }
-            Self::Changed(WatchEvent::Put(entry)) => entry.modified,
-            Self::Changed(WatchEvent::Deleted { store_revision, .. }) => *store_revision,
-        }
-    }
-}
-
 /// What is followed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Followed {
@@ -189,11 +168,11 @@
     sink: &impl Fn(StoreUpdate),
     progress: &mut Progress,
 ) -> Result<StoreRevision, StoreError> {
-    let asked = progress.gateway.now();
+    let asked = progress.gateway.cx.now();
     let is_newest = request.consistency == Consistency::Linearizable;
     let reply = store.range(request).await?;
     progress.reset();
-    progress.gateway.membership.store_answered();
+    progress.gateway.fleet.membership.store_answered();
     progress.was_read = true;
     progress.keys = reply.entries.iter().map(|it| it.key.clone()).collect();
     sink(StoreUpdate::All(reply.entries));
@@ -212,7 +191,7 @@
     progress: &mut Progress,
 ) -> Option<StoreRevision> {
     let gateway = progress.gateway.clone();
-    let first_start = gateway.settings.node.first_start;
+    let first_start = gateway.cx.settings.node.first_start;
     let awaited = match first_start {
         true => RELAY_AWAITED_AT_FIRST_START,
         false => RELAY_AWAITED,
@@ -260,7 +239,7 @@
     let range = followed.range();
     match followed.first {
         // Nobody is served yet, and a relay will have them.
-        FirstRead::Newest if progress.gateway.settings.node.first_start => Ok(None),
+        FirstRead::Newest if progress.gateway.cx.settings.node.first_start => Ok(None),
         FirstRead::Newest => {
             let request = RangeRequest::all(range);
             read(store, request, sink, progress).await.map(Some)
@@ -297,7 +276,7 @@
         Ok(batches) => tokio::select! {
             error = watch_batches(batches, followed.gathering, sink, progress) => error,
             // The watch may have been lost together with the store, and say nothing.
-            () = gateway.membership.store_regained.notified() => return,
+            () = gateway.fleet.membership.store_regained.notified() => return,
         },
         Err(error) => error,
     };
@@ -316,7 +295,7 @@
     // The first batch may be the client's own and prove nothing.
     let mut batches = batches.skip(1);
     loop {
-        let asked = progress.gateway.now();
+        let asked = progress.gateway.cx.now();
         let Some(batch) = batches.next().await else {
             break;
         };
@@ -325,7 +304,7 @@
             Err(error) => return error,
         };
         progress.reset();
-        progress.gateway.membership.store_answered();
+        progress.gateway.fleet.membership.store_answered();
         let any = !batch.events.is_empty();
         for event in batch.events {
             progress.note(&event);
@@ -368,7 +347,7 @@
         let keys = self.keys.len().saturating_sub(FEW_KEYS);
         let mut pause = per_key.saturating_mul(u32::try_from(keys).unwrap_or(u32::MAX));
         if self.started.elapsed() < SETTLING {
-            let nodes = self.gateway.membership.node_count();
+            let nodes = self.gateway.fleet.membership.node_count();
             let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
             pause = pause.max(SETTLING_PER_NODE.saturating_mul(nodes));
         }
@@ -398,11 +377,17 @@
     /// Longest time that a watch may say nothing; `None` if that doesn't matter. A watch that was lost
     /// without a word, while nothing else was asked of the store, is found by that alone.
     fn longest_quiet(&self) -> Option<Duration> {
-        let bounds = &self.gateway.settings.bounds;
+        let bounds = &self.gateway.cx.settings.bounds;
         match self.subject {
             Subject::Configuration => {
                 let quiet = bounds.contact().mul_f64(QUIET_SHARE);
-                let confirmed = self.gateway.settings.access.key_policy().confirmed_each();
+                let confirmed = self
+                    .gateway
+                    .cx
+                    .settings
+                    .access
+                    .key_policy()
+                    .confirmed_each();
                 Some(confirmed.map_or(quiet, |each| each.min(quiet)))
             }
             Subject::Announcements => Some(bounds.drain().mul_f64(QUIET_SHARE)),
@@ -413,7 +398,7 @@
     /// Takes in that nothing older than `asked` is missing.
     fn confirm(&self, asked: Timestamp) {
         if self.subject == Subject::Configuration {
-            self.gateway.keys_confirmed(asked);
+            self.gateway.cx.keys_confirmed(asked);
         }
     }
 
@@ -434,7 +419,7 @@
     fn reset(&mut self) {
         if self.failures > 0 {
             self.failures = 0;
-            self.gateway.events.write(&Event::StoreRegained {
+            self.gateway.cx.events.write(&Event::StoreRegained {
                 prefix: &self.prefix,
             });
         }
@@ -443,13 +428,13 @@
     /// Waits behind a failure until it makes sense to ask the store again.
     async fn after(&mut self, error: &StoreError) {
         if self.failures == 0 {
-            self.gateway.events.write(&Event::StoreLost {
+            self.gateway.cx.events.write(&Event::StoreLost {
                 prefix: &self.prefix,
                 reason: error.to_string(),
             });
         }
         self.failures += 1;
-        let membership = &self.gateway.membership;
+        let membership = &self.gateway.fleet.membership;
         membership.check_store.notify_one();
         let regained = membership.store_regained.notified();
         tokio::pin!(regained);
--- a/crates/dyketally-gateway/src/store/metered_store.rs
+++ b/crates/dyketally-gateway/src/store/metered_store.rs
@@ -12,29 +12,8 @@
     WatchRequest, WatchStream,
 };
 use futures::StreamExt;
-use serde::Serialize;
-
-/// Calls since the start of the process, failed ones included. Names are documented in
-/// `docs/logs.md`.
-#[derive(Debug, Default, Serialize)]
-pub struct StoreCalls {
-    /// Ranges read, but for stale ones.
-    store_reads: AtomicU64,
-    /// Ranges read that may be some seconds old.
-    store_stale_reads: AtomicU64,
-    /// Transactions and single keys written.
-    store_writes: AtomicU64,
-    /// Waits for changes that ended.
-    store_watches: AtomicU64,
-    /// Leases granted or ended.
-    store_leases: AtomicU64,
-    /// Leases renewed.
-    store_renewals: AtomicU64,
-    /// Bytes of keys and values that the store sent, before they are encoded.
-    store_received_bytes: AtomicU64,
-    /// Bytes of keys and values that the store was sent.
-    store_sent_bytes: AtomicU64,
-}
+
+pub use crate::counters::StoreCalls;
 
 fn add_bytes(total: &AtomicU64, bytes: usize) {
     total.fetch_add(bytes as u64, Ordering::Relaxed);
--- a/crates/dyketally-gateway/src/store/unconfirmed.rs
+++ b/crates/dyketally-gateway/src/store/unconfirmed.rs
@@ -16,19 +16,19 @@
 /// Tells the log when the configuration was confirmed longer ago than is usual, and when it is confirmed
 /// again, until the process ends.
 pub async fn tell_unconfirmed(gateway: Rc<Gateway>) {
-    let contact = gateway.settings.bounds.contact();
+    let contact = gateway.cx.settings.bounds.contact();
     let limit = contact.mul_f64(UNCONFIRMED_SHARE);
     let mut told = false;
     loop {
         tokio::time::sleep(LOOK_INTERVAL).await;
-        let Some(age) = gateway.configuration_age() else {
+        let Some(age) = gateway.cx.configuration_age() else {
             continue;
         };
         let is_old = age > limit;
         if is_old == std::mem::replace(&mut told, is_old) {
             continue;
         }
-        gateway.events.write(&match is_old {
+        gateway.cx.events.write(&match is_old {
             true => gateway.unconfirmed(age),
             false => Event::ConfigurationConfirmed,
         });
--- a/crates/dyketally-gateway/src/succession/appointment.rs
+++ b/crates/dyketally-gateway/src/succession/appointment.rs
@@ -7,10 +7,10 @@
 use dyketally::identifiers::{DatabaseName, GroupName};
 use tokio::time::Instant;
 
+use crate::database::target::Target;
 use crate::fleet::membership::Duty;
 use crate::fleet::message::PeerMessage;
 use crate::ports::Appointment;
-use crate::statement::target::Target;
 use crate::succession::confirm::Confirmation;
 use crate::succession::failover::Failover;
 
@@ -49,7 +49,7 @@
                 );
                 return otherwise;
             };
-            let holder = self.gateway.settings.node.name.as_str();
+            let holder = self.gateway.cx.settings.node.name.as_str();
             let appointed = self.control.appoint(group, successor, holder, duty.token);
             let appointment = appointed.await;
             let detail = format!("{successor} with token {}: {appointment:?}", duty.token);
@@ -78,7 +78,7 @@
         group: &GroupName,
         successor: &DatabaseName,
     ) -> Option<Duty> {
-        let membership = &self.gateway.membership;
+        let membership = &self.gateway.fleet.membership;
         let held = membership.last_duty()?;
         let token_use = self
             .appointments
@@ -120,7 +120,7 @@
     }
 
     fn member_target(&self, name: &DatabaseName) -> Option<Target> {
-        let directory = self.gateway.directory.borrow();
+        let directory = self.gateway.databases.directory.borrow();
         let member = directory.member(name)?;
         Some(self.gateway.target(member, false))
     }
--- a/crates/dyketally-gateway/src/succession/confirm.rs
+++ b/crates/dyketally-gateway/src/succession/confirm.rs
@@ -14,12 +14,12 @@
 use dyketally::time::Timestamp;
 use tokio::time::Instant;
 
+use crate::database::batch::Batch;
+use crate::database::claim::{Claim, Work};
 use crate::database::pool::OWN_PRIORITY;
+use crate::database::target::Target;
 use crate::gateway::Gateway;
 use crate::ports::OwnStatement;
-use crate::statement::batch::Batch;
-use crate::statement::checkout::{Claim, Work};
-use crate::statement::target::Target;
 
 /// Longest time that a confirmation may take.
 const CONFIRM_LIMIT: Duration = Duration::from_millis(400);
@@ -45,7 +45,8 @@
         covered: Timestamp,
         until: Instant,
     ) -> Option<LogPosition> {
-        let state = self.group(group);
+        let state = self.databases.group(group);
+        let leadership = self.leadership.group(group);
         let until = until.min(Instant::now() + CONFIRM_LIMIT);
         loop {
             let observed = state.observed.notified();
@@ -54,7 +55,7 @@
             }
             self.start_confirmation(group, covered);
             let in_time = tokio::time::timeout_at(until, observed).await;
-            if in_time.is_err() || state.confirming.get().is_none() {
+            if in_time.is_err() || leadership.confirming.get().is_none() {
                 let found = state.observations.borrow().covering(covered);
                 return found.map(|found| found.position);
             }
@@ -62,19 +63,19 @@
     }
 
     fn start_confirmation(self: &Rc<Self>, group: &GroupName, covered: Timestamp) {
-        let state = self.group(group);
+        let state = self.leadership.group(group);
         if state.confirming.get().is_some_and(|sent| sent >= covered) {
             return;
         }
-        state.confirming.set(Some(self.now()));
+        state.confirming.set(Some(self.cx.now()));
         let gateway = self.clone();
         let group = group.clone();
         tokio::task::spawn_local(async move {
-            let sent = gateway.now();
+            let sent = gateway.cx.now();
             if let Ok(target) = gateway.primary_target(&group, &ServingRegions::anywhere()) {
                 gateway.confirm_leader(&target).await;
             }
-            let state = gateway.group(&group);
+            let state = gateway.leadership.group(&group);
             if state
                 .confirming
                 .get()
@@ -82,7 +83,8 @@
             {
                 state.confirming.set(None);
             }
-            state.observed.notify_waiters();
+            let observed = gateway.databases.group(&group);
+            observed.observed.notify_waiters();
         });
     }
 
@@ -103,8 +105,8 @@
         let Ok(mut checkout) = checkout.await else {
             return Confirmation::Unclear;
         };
-        self.counters.confirmations.add();
-        let sent = self.now();
+        self.cx.counters.confirmations.add();
+        let sent = self.cx.now();
         let batch = Batch::own([OwnStatement::Begin, OwnStatement::Rollback]);
         let permission = Permission::control(&target.name);
         let exchange = self.exchange(&mut checkout, target, &batch, permission);
@@ -117,7 +119,8 @@
         }
         match &answers[0].end {
             Ok(_) if answers[1].end.is_ok() && ended && self.is_unrivalled(target).await => {
-                self.observe(&target.group, answers[0].position, sent);
+                self.databases
+                    .observe(&target.group, answers[0].position, sent);
                 Confirmation::Leads
             }
             Err(failure) if failure.kind == FailureKind::ReadOnly => Confirmation::Follows,
@@ -127,7 +130,7 @@
 
     /// Looks for the database that leads `group` among all of them, in the background.
     pub fn search_primary(self: &Rc<Self>, group: &GroupName) {
-        let state = self.group(group);
+        let state = self.leadership.group(group);
         if state.searching.replace(true) {
             return;
         }
@@ -143,12 +146,12 @@
                 }
             }
             tokio::time::sleep(SEARCH_PAUSE).await;
-            gateway.group(&group).searching.set(false);
+            gateway.leadership.group(&group).searching.set(false);
         });
     }
 
     fn search_targets(&self, group: &GroupName) -> Vec<Target> {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let ready = directory
             .members(group)
             .filter(|member| member.state == MemberState::Ready);
@@ -157,15 +160,21 @@
 
     /// Takes in that a database acts as primary.
     pub fn leads(&self, target: &Target) {
-        self.directory.borrow_mut().acted_as_primary(&target.name);
+        self.databases
+            .directory
+            .borrow_mut()
+            .acted_as_primary(&target.name);
         self.lift_fence(&target.name);
     }
 
     /// Takes in that a database refused to act as primary.
     pub fn follows(&self, target: &Target) {
-        self.directory.borrow_mut().refused_as_primary(&target.name);
-        self.tell_change();
-        self.membership.attention.notify_one();
+        self.databases
+            .directory
+            .borrow_mut()
+            .refused_as_primary(&target.name);
+        self.cx.changes.notify();
+        self.fleet.membership.attention.notify_one();
     }
 
     /// Has a database carry out one of the gateway's statements that answer with its status.
@@ -189,7 +198,7 @@
                 let answer = answers.into_iter().next()?;
                 checkout.give_back();
                 match answer.end {
-                    Ok(_) => return self.database_protocol.status(answer.rows.first()?),
+                    Ok(_) => return self.databases.protocol.status(answer.rows.first()?),
                     Err(failure) if failure.kind == FailureKind::Busy => {
                         tokio::time::sleep(Duration::from_millis(15)).await;
                     }
--- a/crates/dyketally-gateway/src/succession/duty.rs
+++ b/crates/dyketally-gateway/src/succession/duty.rs
@@ -13,11 +13,12 @@
 use tokio::sync::Mutex;
 use tokio::time::Instant;
 
+use crate::context::StopPhase;
 use crate::event::Event;
 use crate::fleet::membership::{Duty, HeldLease, Holder, Keys, Membership};
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
-use crate::gateway::{Gateway, StopPhase};
+use crate::gateway::Gateway;
 
 /// Time after which the duty of a node that is lost is free.
 const LEASE: Duration = Duration::from_millis(2_600);
@@ -63,7 +64,7 @@
     }
 
     fn membership(&self) -> &Membership {
-        &self.gateway.membership
+        &self.gateway.fleet.membership
     }
 
     /// Takes the duty whenever it is free, and keeps it, until the process stops.
@@ -71,7 +72,7 @@
         loop {
             tokio::select! {
                 () = self.membership().duty_free.notified() => {}
-                () = self.gateway.entered(StopPhase::Leaving) => return,
+                () = self.gateway.cx.stop.entered(StopPhase::Leaving) => return,
             }
             if let Some(lease) = self.campaign().await {
                 self.hold(lease).await;
@@ -91,7 +92,7 @@
             None => {}
         }
         self.pause_before_campaign().await;
-        if self.membership().duty_key().is_some() || self.gateway.is_stopping() {
+        if self.membership().duty_key().is_some() || self.gateway.cx.stop.is_stopping() {
             return None;
         }
         if self.membership().heard_holder().is_some() {
@@ -124,7 +125,7 @@
             record: record.clone(),
             lease: Some(lease),
         });
-        self.gateway.events.write(&Event::DutyTaken { token });
+        self.gateway.cx.events.write(&Event::DutyTaken { token });
         self.peers.broadcast(&PeerMessage::HasDuty { record });
         membership.attention.notify_one();
     }
@@ -132,7 +133,7 @@
     /// Gives nodes that are ranked before this one time to take the duty: each campaign costs calls
     /// to the store.
     async fn pause_before_campaign(&self) {
-        let running_for = self.gateway.now().saturating_since(Timestamp::ZERO);
+        let running_for = self.gateway.cx.now().saturating_since(Timestamp::ZERO);
         tokio::time::sleep(SETTLING.saturating_sub(running_for)).await;
         let pause = CAMPAIGN_HEAD_START.saturating_mul(self.rank());
         tokio::time::sleep(pause.min(LONGEST_CAMPAIGN_DELAY)).await;
@@ -176,7 +177,7 @@
         let gateway = self.gateway.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(CAMPAIGN_RETRY).await;
-            gateway.membership.duty_free.notify_one();
+            gateway.fleet.membership.duty_free.notify_one();
         });
     }
 
@@ -191,7 +192,7 @@
                     Err(_) => next = Instant::now() + RENEWAL_RETRY,
                 },
                 () = self.membership().duty_free.notified() => self.check(lease).await,
-                () = self.gateway.entered(StopPhase::Leaving) => {
+                () = self.gateway.cx.stop.entered(StopPhase::Leaving) => {
                     self.lay_down("the process stops");
                     // If it fails the lease runs out by itself.
                     let _ = self.store.revoke_lease(lease).await;
@@ -272,7 +273,7 @@
 
     fn lay_down(&self, reason: &str) {
         if self.membership().lay_down_duty() {
-            self.gateway.events.write(&Event::DutyLost { reason });
+            self.gateway.cx.events.write(&Event::DutyLost { reason });
         }
     }
 }
--- a/crates/dyketally-gateway/src/succession/failover.rs
+++ b/crates/dyketally-gateway/src/succession/failover.rs
@@ -11,11 +11,11 @@
 use dyketally::identifiers::{DatabaseName, GroupName};
 use tokio::time::Instant;
 
+use crate::database::target::Target;
 use crate::event::Event;
 use crate::fleet::peer::{Peers, Vote};
 use crate::gateway::Gateway;
 use crate::ports::PrimaryControl;
-use crate::statement::target::Target;
 use crate::succession::duty::DutyKeeper;
 use crate::succession::fence::FenceKeeper;
 use crate::succession::probe::PROBE_LIMIT;
@@ -86,12 +86,6 @@
     }
 }
 
-impl std::fmt::Debug for Target {
-    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "{}", self.name)
-    }
-}
-
 impl Failover {
     /// A replacer that isn't running yet.
     pub fn new(
@@ -117,22 +111,22 @@
     /// Looks after all groups whenever there is reason to, forever.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let attention = self.gateway.membership.attention.notified();
-            match self.gateway.membership.last_duty() {
+            let attention = self.gateway.fleet.membership.attention.notified();
+            match self.gateway.fleet.membership.last_duty() {
                 Some(_) => {
                     // Either way it is time to look.
                     let _ = tokio::time::timeout(LOOK_INTERVAL, attention).await;
                 }
                 None => attention.await,
             }
-            if self.gateway.membership.last_duty().is_some() {
+            if self.gateway.fleet.membership.last_duty().is_some() {
                 self.look_at_all();
             }
         }
     }
 
     fn look_at_all(self: &Rc<Self>) {
-        let groups = self.gateway.directory.borrow().groups();
+        let groups = self.gateway.databases.directory.borrow().groups();
         for group in groups {
             if !self.busy.borrow_mut().insert(group.clone()) {
                 continue;
@@ -152,12 +146,12 @@
         self.step(group, "start", format!("{cause:?}"));
         if !self.replace(group, &cause).await {
             tokio::time::sleep(RETRY_PAUSE).await;
-            self.gateway.membership.attention.notify_one();
+            self.gateway.fleet.membership.attention.notify_one();
         }
     }
 
     pub(super) fn step(&self, group: &GroupName, step: &str, detail: String) {
-        self.gateway.events.write(&Event::FailoverStep {
+        self.gateway.cx.events.write(&Event::FailoverStep {
             group: group.as_str(),
             step,
             detail,
@@ -165,7 +159,7 @@
     }
 
     async fn cause(self: &Rc<Self>, group: &GroupName) -> Option<Cause> {
-        let holds = self.gateway.membership.duty().is_some();
+        let holds = self.gateway.fleet.membership.duty().is_some();
         let Some((primary, state)) = self.known_primary(group) else {
             return match holds {
                 true => self.leaderless(group).await,
@@ -224,7 +218,7 @@
     /// Where the group should be led from rather than by `primary`, if it is time to move it.
     fn better_regions(&self, group: &GroupName, primary: &Target) -> Option<ServingRegions> {
         let regions = self.gateway.preferred_regions(primary)?;
-        let now = self.gateway.now();
+        let now = self.gateway.cx.now();
         let may_begin = self.moves.borrow().may_begin(group, now);
         may_begin.then_some(regions)
     }
@@ -233,19 +227,22 @@
     /// to move it. Where regions are bound the place of the primary goes first.
     fn is_cold_without_need(&self, group: &GroupName, primary: &Target) -> bool {
         let gateway = &self.gateway;
-        let cold_for = gateway.loading(&primary.name).announced_cold_for();
+        let cold_for = gateway
+            .databases
+            .loading(&primary.name)
+            .announced_cold_for();
         cold_for >= COLD_WORTH_MOVING
-            && !gateway.routes().binds_regions()
+            && !gateway.cx.routes().binds_regions()
             && gateway.has_warm_successor(group, &primary.name)
-            && self.moves.borrow().may_begin(group, gateway.now())
+            && self.moves.borrow().may_begin(group, gateway.cx.now())
     }
 
     fn suspicions(&self) -> &RefCell<HashMap<(GroupName, DatabaseName), Instant>> {
-        &self.gateway.membership.suspicions
+        &self.gateway.fleet.membership.suspicions
     }
 
     fn known_primary(&self, group: &GroupName) -> Option<(Target, MemberState)> {
-        let directory = self.gateway.directory.borrow();
+        let directory = self.gateway.databases.directory.borrow();
         let primary = directory.primary(group)?;
         Some((self.gateway.target(primary, true), primary.state))
     }
@@ -254,7 +251,7 @@
         let until = Instant::now() + LEADERLESS;
         while Instant::now() < until {
             self.gateway.search_primary(group);
-            self.gateway.next_change(until).await;
+            self.gateway.cx.changes.next(until).await;
             if self.known_primary(group).is_some() {
                 return None;
             }
@@ -277,13 +274,13 @@
         let own = self.gateway.evidence_of(primary);
         tokio::pin!(own);
         let mut own_known = false;
-        let membership = &self.gateway.membership;
+        let membership = &self.gateway.fleet.membership;
         loop {
             let vote: Option<Vote> = tokio::select! {
                 evidence = &mut own, if !own_known => {
                     own_known = true;
                     let store_lost = membership.store_lost();
-                    let from = self.gateway.settings.listen.peers;
+                    let from = self.gateway.cx.settings.listen.peers;
                     Some(Vote { evidence, store_lost, from })
                 }
                 vote = poll.votes.receiver.recv() => vote,
@@ -299,7 +296,7 @@
             result.lease_runs = membership.duty().is_some();
             let verdict = judge(&result);
             if verdict != Verdict::Undecided || result.complete {
-                self.gateway.events.write(&Event::PrimaryPolled {
+                self.gateway.cx.events.write(&Event::PrimaryPolled {
                     group: primary.group.as_str(),
                     database: primary.name.as_str(),
                     evidence: format!("{:?} of {nodes}", result.evidence),
--- a/crates/dyketally-gateway/src/succession/fence.rs
+++ b/crates/dyketally-gateway/src/succession/fence.rs
@@ -46,32 +46,39 @@
     /// Stops taking `database` for a leader, as `source` told; false when the round is over.
     pub fn put_up_fence(&self, database: DatabaseName, id: FenceId, source: &str) -> bool {
         let stood = self.is_fenced(&database);
-        let now = self.now();
-        let stands = self.fences.borrow_mut().put_up(now, database.clone(), id);
+        let now = self.cx.now();
+        let stands = self
+            .databases
+            .fences
+            .borrow_mut()
+            .put_up(now, database.clone(), id);
         if stands && !stood {
-            self.events.write(&Event::FencePutUp {
+            self.cx.events.write(&Event::FencePutUp {
                 database: database.as_str(),
                 source,
             });
         }
-        self.tell_change();
+        self.cx.changes.notify();
         stands
     }
 
     /// True while `database` mustn't be taken for a leader.
     pub fn is_fenced(&self, database: &DatabaseName) -> bool {
-        self.fences.borrow().holds(self.now(), database)
+        self.databases
+            .fences
+            .borrow()
+            .holds(self.cx.now(), database)
     }
 
     /// Takes in that `source` has had fences for some time.
     pub fn heard_of_fences(&self, fenced: impl IntoIterator<Item = StandingFence>, source: &str) {
-        let now = self.now();
+        let now = self.cx.now();
         for fence in fenced {
             let database = fence.database.clone();
             let stood = self.is_fenced(&database);
-            self.fences.borrow_mut().heard(now, fence);
+            self.databases.fences.borrow_mut().heard(now, fence);
             if !stood && self.is_fenced(&database) {
-                self.events.write(&Event::FencePutUp {
+                self.cx.events.write(&Event::FencePutUp {
                     database: database.as_str(),
                     source,
                 });
@@ -82,26 +89,30 @@
     /// Takes `database` for a leader again.
     pub fn lift_fence(&self, database: &DatabaseName) {
         if self.is_fenced(database) {
-            self.events.write(&Event::FenceLifted {
+            self.cx.events.write(&Event::FenceLifted {
                 database: database.as_str(),
             });
         }
-        self.fences.borrow_mut().lift(self.now(), database);
-        self.tell_change();
+        self.databases
+            .fences
+            .borrow_mut()
+            .lift(self.cx.now(), database);
+        self.cx.changes.notify();
     }
 
     /// Takes in that the round of a fence is over and `database` isn't replaced by it.
     pub fn lift_round(&self, database: &DatabaseName, id: FenceId) {
         let stood = self.is_fenced(database);
-        self.fences
+        self.databases
+            .fences
             .borrow_mut()
-            .lift_round(self.now(), database, id);
+            .lift_round(self.cx.now(), database, id);
         if stood && !self.is_fenced(database) {
-            self.events.write(&Event::FenceLifted {
+            self.cx.events.write(&Event::FenceLifted {
                 database: database.as_str(),
             });
         }
-        self.tell_change();
+        self.cx.changes.notify();
     }
 
     fn has_answered_within(&self, database: &DatabaseName, age: Duration) -> bool {
@@ -161,7 +172,7 @@
         suspected: Duration,
     ) -> bool {
         let (verdict, round) = self.ask_until_judged(database, suspected).await;
-        self.gateway.events.write(&Event::FailoverStep {
+        self.gateway.cx.events.write(&Event::FailoverStep {
             group: group.as_str(),
             step: "fence",
             detail: format!("{database}: {verdict:?}, {round:?}"),
@@ -205,9 +216,9 @@
         self.rounds.borrow_mut().insert(database.clone(), id);
         let mut replies = self.peers.collect_fence_replies();
         let mut silent = self.others();
-        let mut round = FenceRound::new(gateway.now(), silent.len() + 1);
+        let mut round = FenceRound::new(gateway.cx.now(), silent.len() + 1);
         match gateway.fence(database, id, suspected) {
-            true => round.confirmed(gateway.now()),
+            true => round.confirmed(gateway.cx.now()),
             false => round.contested(),
         }
         // Silent nodes that may be in touch with a majority by way of those that confirm.
@@ -221,14 +232,14 @@
             {
                 round.published(at);
             }
-            if gateway.membership.duty().is_none() {
+            if gateway.fleet.membership.duty().is_none() {
                 round.lease_broken();
             }
-            let former_holder = gateway.membership.former_holder();
+            let former_holder = gateway.fleet.membership.former_holder();
             let lapsed = former_holder
                 .is_some_and(|holder| silent.contains(&holder) && !heard.contains(&holder));
             round.lapsed(usize::from(lapsed));
-            let verdict = round.verdict(gateway.now());
+            let verdict = round.verdict(gateway.cx.now());
             if verdict != FenceVerdict::Open {
                 return (verdict, round);
             }
@@ -252,7 +263,7 @@
             heard.extend(reply.heard);
             match reply.contested {
                 true => round.contested(),
-                false if silent.remove(&reply.from) => round.confirmed(gateway.now()),
+                false if silent.remove(&reply.from) => round.confirmed(gateway.cx.now()),
                 false => {}
             }
         }
@@ -262,7 +273,7 @@
     /// isn't lifted.
     fn publish(&self, database: &DatabaseName, id: FenceId) -> Rc<Published> {
         let published = Rc::new(Published::default());
-        let Some(lease) = self.gateway.membership.duty_lease() else {
+        let Some(lease) = self.gateway.fleet.membership.duty_lease() else {
             return published;
         };
         let mut all = self.published.borrow_mut();
@@ -274,7 +285,7 @@
         let fence = published.clone();
         tokio::task::spawn_local(async move {
             if store.transact(unconditional(put)).await.is_ok() {
-                fence.since.set(Some(gateway.now()));
+                fence.since.set(Some(gateway.cx.now()));
             }
             // Either way the store should no longer tell of it.
             let _ = tokio::time::timeout(FENCE_HOLDS, fence.withdrawn.notified()).await;
@@ -291,8 +302,9 @@
     }
 
     fn others(&self) -> HashSet<SocketAddr> {
-        let own = &self.gateway.settings.node.name;
+        let own = &self.gateway.cx.settings.node.name;
         self.gateway
+            .fleet
             .membership
             .electorate(own)
             .into_iter()
--- a/crates/dyketally-gateway/src/succession/lead.rs
+++ b/crates/dyketally-gateway/src/succession/lead.rs
@@ -4,26 +4,25 @@
 //! appointed. An isolated node asks the group's other databases after each answer, and takes it for
 //! a leader's only if none of them leads.
 
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-use dyketally::failover::{Contact, StandingFence, is_majority};
+use dyketally::failover::is_majority;
 use dyketally::identifiers::GroupName;
 use dyketally::time::Timestamp;
 use dyketally_store::StoreError;
 use dyketally_store::key_value::{KeyValueStore, LeaseId};
-use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
+use crate::context::contact::RelayContact;
+use crate::database::target::Target;
 use crate::event::Event;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
 use crate::gateway::Gateway;
 use crate::ports::OwnStatement;
-use crate::statement::target::Target;
-use crate::succession::short_contact::Questions;
 
 /// How long a database may take to tell whether it leads.
 const ROLE_LIMIT: Duration = Duration::from_millis(300);
@@ -42,17 +41,6 @@
 /// followers as well; a relay renews its lease each 0.7 s.
 const RELAY_LOST_STORE: Duration = Duration::from_millis(1_800);
 
-/// How lately a node was in touch, for nodes that rely on it.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RelayContact {
-    /// How long ago it asked the store that replied last.
-    pub store: Option<Duration>,
-    /// How long ago it asked the nodes more than half of which replied last.
-    pub majority: Option<Duration>,
-    /// The fences that stand there.
-    pub fenced: Vec<StandingFence>,
-}
-
 /// What an isolated node found when it asked the other databases of a group.
 #[derive(Clone, Copy, Debug)]
 struct Vetting {
@@ -70,28 +58,7 @@
     done: Notify,
 }
 
-/// Whether this node is in touch.
-#[derive(Debug, Default)]
-pub struct Touch {
-    /// When this node asked the store that replied to it last, not to a relay.
-    own_store_reply: Cell<Option<Timestamp>>,
-    pub(super) contact: RefCell<Contact>,
-    pub(super) questions: RefCell<Questions>,
-}
-
-impl Touch {
-    /// The time at which the store held what this node knows, if that is short ago.
-    pub fn heard_store(&self, now: Timestamp) -> Option<Timestamp> {
-        self.contact.borrow().heard_store(now)
-    }
-}
-
 impl Gateway {
-    /// True when this node would hear of a primary that is replaced.
-    pub fn is_in_touch(&self) -> bool {
-        self.touch.contact.borrow().is_held(self.now())
-    }
-
     /// Renews this node's own lease at `store`, and takes in what that tells of the store. While the
     /// node holds the duty only [`Gateway::renew_duty`] counts as contact, and while it doesn't watch
     /// the store itself only what its relay tells: its news come from there.
@@ -103,14 +70,14 @@
         store: &dyn KeyValueStore,
         lease: LeaseId,
     ) -> Result<Duration, StoreError> {
-        let asked = self.now();
-        let renewed = self.membership.renew(store, lease).await;
+        let asked = self.cx.now();
+        let renewed = self.fleet.membership.renew(store, lease).await;
         if renewed.is_ok() {
-            self.store_replied_to_this_node(asked);
+            self.cx.contact.store_replied_to_this_node(asked);
         }
-        let counts = self.membership.last_duty().is_none() && self.feed.is_current();
+        let counts = self.fleet.membership.last_duty().is_none() && self.feed.is_current();
         if renewed.is_ok() && counts {
-            self.store_replied(asked);
+            self.cx.contact.store_replied(asked);
         }
         renewed
     }
@@ -125,45 +92,22 @@
         store: &dyn KeyValueStore,
         lease: LeaseId,
     ) -> Result<Duration, StoreError> {
-        let asked = self.now();
-        let renewed = self.membership.renew(store, lease).await;
+        let asked = self.cx.now();
+        let renewed = self.fleet.membership.renew(store, lease).await;
         if renewed.is_ok() {
-            self.store_replied_to_this_node(asked);
-            self.store_replied(asked - DUTY_CONTACT_SHORTER);
+            self.cx.contact.store_replied_to_this_node(asked);
+            self.cx.contact.store_replied(asked - DUTY_CONTACT_SHORTER);
         }
         renewed
     }
 
-    /// Takes in that what this node heard from the store itself no longer counts: it gives back its
-    /// leases, or its news come from a relay that has lost the store.
-    pub fn disregard_store(&self) {
-        self.touch.contact.borrow_mut().store_given_up();
-    }
-
-    /// Takes in that the store replied to what was asked at `asked`.
-    pub fn store_replied(&self, asked: Timestamp) {
-        self.touch.contact.borrow_mut().store_replied(asked);
-    }
-
-    /// Takes in that the store replied to a call of this node's own that was made at `asked`.
-    pub fn store_replied_to_this_node(&self, asked: Timestamp) {
-        let last = self.touch.own_store_reply.get();
-        self.touch.own_store_reply.set(last.max(Some(asked)));
-    }
-
-    /// True when the store, which once replied to this node, hasn't for `time`.
-    pub fn has_lost_store_for(&self, time: Duration) -> bool {
-        let last = self.touch.own_store_reply.get();
-        last.is_some_and(|asked| self.now().saturating_since(asked) >= time)
-    }
-
     /// How lately this node was in touch, for the nodes that follow it. A node that catches up may
     /// lack news, so for them it is in touch with nobody.
     pub fn relay_contact(&self) -> RelayContact {
-        let now = self.now();
-        let contact = self.touch.contact.borrow();
+        let now = self.cx.now();
+        let contact = self.cx.contact.borrow_mut();
         let is_held = contact.is_long_held(now);
-        let fences = self.fences.borrow().standing(now);
+        let fences = self.databases.fences.borrow().standing(now);
         RelayContact {
             store: contact.store_age(now).filter(|_| is_held),
             majority: contact.majority_age(now).filter(|_| is_held),
@@ -175,24 +119,21 @@
     /// has reached this node, too. While this node holds the duty only its own calls count.
     pub fn take_relay_contact(&self, asked: Timestamp, relayed: RelayContact) {
         self.heard_of_fences(relayed.fenced, "a relay");
-        let holds_duty = self.membership.last_duty().is_some();
+        let holds_duty = self.fleet.membership.last_duty().is_some();
         match relayed.store {
-            Some(age) if age < RELAY_LOST_STORE => self.membership.store_answered(),
-            Some(_) | None => self.membership.store_failed(),
+            Some(age) if age < RELAY_LOST_STORE => self.fleet.membership.store_answered(),
+            Some(_) | None => self.fleet.membership.store_failed(),
         }
         if holds_duty {
             return;
         }
         if let Some(age) = relayed.store
-            && !self.is_stopping()
+            && !self.cx.stop.is_stopping()
         {
-            self.store_replied(asked - age);
+            self.cx.contact.store_replied(asked - age);
         }
         if let Some(age) = relayed.majority {
-            self.touch
-                .contact
-                .borrow_mut()
-                .majority_replied(asked - age);
+            self.cx.contact.borrow_mut().majority_replied(asked - age);
         }
     }
 
@@ -202,7 +143,7 @@
         if self.is_fenced(&target.name) {
             return true;
         }
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let primary = directory.primary(&target.group);
         primary.is_some_and(|primary| {
             primary.name() != &target.name && !self.is_fenced(primary.name())
@@ -211,7 +152,7 @@
 
     /// True when it is clear without asking that an answer of `target` is a leader's.
     pub fn surely_leads(&self, target: &Target) -> bool {
-        !self.is_replaced(target) && self.is_in_touch()
+        !self.is_replaced(target) && self.cx.is_in_touch()
     }
 
     /// True when an answer of `target` that has just arrived is a leader's: no other database had
@@ -229,24 +170,24 @@
         if self.is_fenced(&target.name) {
             return false;
         }
-        self.is_in_touch() || self.others_deny_leading(target).await
+        self.cx.is_in_touch() || self.others_deny_leading(target).await
     }
 
     /// True while this node is isolated and couldn't make sure lately that nobody else leads.
     pub fn is_unclear(&self, group: &GroupName) -> bool {
-        if self.is_in_touch() {
+        if self.cx.is_in_touch() {
             return false;
         }
-        let last = self.group(group).vettings.last.get();
+        let last = self.leadership.group(group).vettings.last.get();
         last.is_some_and(|last| {
-            !last.unrivalled && self.now().saturating_since(last.asked) < UNCLEAR_HOLDS
+            !last.unrivalled && self.cx.now().saturating_since(last.asked) < UNCLEAR_HOLDS
         })
     }
 
     /// Asks the group's other databases whether they lead; one round for all who wait.
     async fn others_deny_leading(self: &Rc<Self>, target: &Target) -> bool {
-        let needed = self.now();
-        let state = self.group(&target.group);
+        let needed = self.cx.now();
+        let state = self.leadership.group(&target.group);
         let until = Instant::now() + ROLE_LIMIT * 2;
         loop {
             let done = state.vettings.done.notified();
@@ -263,14 +204,14 @@
     }
 
     fn start_vetting(self: &Rc<Self>, target: &Target) {
-        let state = self.group(&target.group);
+        let state = self.leadership.group(&target.group);
         if state.vettings.running.replace(true) {
             return;
         }
         let gateway = self.clone();
         let target = target.clone();
         tokio::task::spawn_local(async move {
-            let asked = gateway.now();
+            let asked = gateway.cx.now();
             let unrivalled = gateway.others_follow(&target).await;
             let vetting = Vetting { asked, unrivalled };
             state.vettings.last.set(Some(vetting));
@@ -290,7 +231,7 @@
     }
 
     fn other_members(&self, target: &Target) -> Vec<Target> {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let members = directory.members(&target.group);
         let others = members.filter(|member| member.name() != &target.name);
         others.map(|member| self.target(member, false)).collect()
@@ -303,17 +244,18 @@
     let mut last_asked = None;
     let mut was_in_touch = false;
     loop {
-        let in_touch = gateway.is_in_touch();
+        let in_touch = gateway.cx.is_in_touch();
         if in_touch != std::mem::replace(&mut was_in_touch, in_touch) {
-            gateway.events.write(match in_touch {
+            gateway.cx.events.write(match in_touch {
                 true => &Event::InTouch,
                 false => &Event::Isolated,
             });
         }
-        let due = gateway.touch.contact.borrow().ask_nodes_at(last_asked);
-        let relies_on_relay = gateway.feed.is_fed() && gateway.membership.last_duty().is_none();
+        let due = gateway.cx.contact.borrow_mut().ask_nodes_at(last_asked);
+        let relies_on_relay =
+            gateway.feed.is_fed() && gateway.fleet.membership.last_duty().is_none();
         let due = due.filter(|_| !relies_on_relay);
-        let now = gateway.now();
+        let now = gateway.cx.now();
         match due {
             Some(due) if due <= now => {
                 last_asked = Some(now);
@@ -327,8 +269,8 @@
 }
 
 async fn ask_nodes(gateway: Rc<Gateway>, peers: Rc<Peers>, asked: Timestamp) {
-    let own = &gateway.settings.node.name;
-    let nodes = gateway.membership.electorate(own);
+    let own = &gateway.cx.settings.node.name;
+    let nodes = gateway.fleet.membership.electorate(own);
     let mut replies = peers.collect_signs_of_life();
     let message = PeerMessage::AreYouThere {
         round: replies.round,
@@ -345,5 +287,5 @@
             Ok(None) | Err(_) => return,
         }
     }
-    gateway.touch.contact.borrow_mut().majority_replied(asked);
+    gateway.cx.contact.borrow_mut().majority_replied(asked);
 }
--- a/crates/dyketally-gateway/src/succession/probe.rs
+++ b/crates/dyketally-gateway/src/succession/probe.rs
@@ -8,10 +8,10 @@
 use tokio::time::Instant;
 
 use crate::database::connection::{Connection, OpenError, Route};
+use crate::database::target::Target;
 use crate::event::Event;
 use crate::gateway::Gateway;
 use crate::ports::DatabaseUser;
-use crate::statement::target::Target;
 
 /// Longest time that a probe may take.
 pub const PROBE_LIMIT: Duration = Duration::from_millis(300);
@@ -36,7 +36,7 @@
     async fn probe(self: &Rc<Self>, target: &Target) -> Evidence {
         let began = Instant::now();
         let dialled = Connection::open(
-            self.database_protocol.clone(),
+            self.databases.protocol.clone(),
             Route::Direct(target.state.pool.address()),
             &target.group,
             &target.name,
@@ -83,7 +83,7 @@
             if evidence == Evidence::Silent {
                 self.find_relay(target);
             }
-            self.events.write(&Event::PrimarySuspected {
+            self.cx.events.write(&Event::PrimarySuspected {
                 group: target.group.as_str(),
                 database: target.name.as_str(),
                 evidence: format!("{evidence:?}"),
@@ -95,7 +95,7 @@
 
     /// True when a database is the leader of its group as far as this node knows.
     pub fn is_primary(&self, target: &Target) -> bool {
-        let directory = self.directory.borrow();
+        let directory = self.databases.directory.borrow();
         let primary = directory.primary(&target.group);
         primary.is_some_and(|primary| primary.name() == &target.name)
     }
--- a/crates/dyketally-gateway/src/succession/replacement.rs
+++ b/crates/dyketally-gateway/src/succession/replacement.rs
@@ -10,8 +10,8 @@
 use dyketally::identifiers::{DatabaseName, GroupName};
 use tokio::time::Instant;
 
+use crate::database::target::Target;
 use crate::ports::OwnStatement;
-use crate::statement::target::Target;
 use crate::succession::appointment::Appointed;
 use crate::succession::failover::{Cause, Failover, LEADERLESS, RETRY_PAUSE};
 use crate::succession::survey::{STATUS_LIMIT, Survey};
@@ -63,11 +63,11 @@
         old: &Target,
         regions: &ServingRegions,
     ) -> bool {
-        let now = self.gateway.now();
+        let now = self.gateway.cx.now();
         self.moves.borrow_mut().begun(group, now);
         let handover = self.hand_over(group, old, regions, Behind::Return).await;
         if handover == Handover::PutOff {
-            let now = self.gateway.now();
+            let now = self.gateway.cx.now();
             self.moves.borrow_mut().put_off(group, now);
         }
         handover == Handover::Leads
@@ -244,7 +244,7 @@
     }
 
     fn acknowledging(&self, group: &GroupName) -> usize {
-        let routes = self.gateway.routes();
+        let routes = self.gateway.cx.routes();
         let limits = routes.groups.get(group);
         limits.map_or(0, |limits| limits.acknowledging_replicas as usize)
     }
--- a/crates/dyketally-gateway/src/succession/short_contact.rs
+++ b/crates/dyketally-gateway/src/succession/short_contact.rs
@@ -54,9 +54,9 @@
     /// What this node tells another that asks for the short contact: it is granted by the holder of the
     /// duty, and passed on with its age by all others.
     pub fn tell_short_contact(&self, round: u64) -> PeerMessage {
-        let now = self.now();
-        let contact = self.touch.contact.borrow();
-        let granted = match self.membership.grants_contact() {
+        let now = self.cx.now();
+        let contact = self.cx.contact.borrow_mut();
+        let granted = match self.fleet.membership.grants_contact() {
             true => Some(Duration::ZERO),
             false => contact.granted_age(now),
         };
@@ -66,7 +66,7 @@
             round,
             granted_ms: short_age(granted),
             majority_ms: short_age(majority),
-            fenced: self.fences.borrow().standing(now),
+            fenced: self.databases.fences.borrow().standing(now),
         }
     }
 
@@ -78,16 +78,16 @@
         granted_ms: Option<u32>,
         majority_ms: Option<u32>,
     ) {
-        let Some(asked) = self.touch.questions.borrow().asked_at(round) else {
+        let Some(asked) = self.leadership.questions.borrow().asked_at(round) else {
             return;
         };
-        let mut contact = self.touch.contact.borrow_mut();
+        let mut contact = self.cx.contact.borrow_mut();
         if let Some(age) = granted_ms {
             contact.granted(asked - Duration::from_millis(age.into()));
         }
         // While this node holds the duty only its own calls count.
         if let Some(age) = majority_ms
-            && self.membership.last_duty().is_none()
+            && self.fleet.membership.last_duty().is_none()
         {
             contact.majority_replied(asked - Duration::from_millis(age.into()));
         }
@@ -98,16 +98,16 @@
     /// which may have a better relay.
     fn short_contact_sources(&self) -> impl Iterator<Item = SocketAddr> {
         let relay = self.feed.relay();
-        let is_late = self.touch.contact.borrow().is_grant_late(self.now());
-        let holder = self.membership.holder();
+        let is_late = self.cx.contact.borrow_mut().is_grant_late(self.cx.now());
+        let holder = self.fleet.membership.holder();
         let holder = holder.filter(|_| relay.is_none() || is_late);
         let neighbour = is_late.then(|| self.some_neighbour()).flatten();
         relay.into_iter().chain(holder).chain(neighbour)
     }
 
     fn some_neighbour(&self) -> Option<SocketAddr> {
-        let own = &self.settings.node;
-        let nodes = self.membership.nodes();
+        let own = &self.cx.settings.node;
+        let nodes = self.fleet.membership.nodes();
         let others = nodes.values().filter(|node| node.node != own.name);
         let neighbours = others.filter(|node| node.locality.zone == own.zone);
         let neighbour = neighbours.choose(&mut rand::rng())?;
@@ -124,11 +124,11 @@
 /// Keeps the short contact, forever.
 pub async fn keep_short_contact(gateway: Rc<Gateway>, peers: Rc<Peers>) {
     loop {
-        let now = gateway.now();
-        if gateway.membership.grants_contact() {
-            gateway.touch.contact.borrow_mut().granted(now);
+        let now = gateway.cx.now();
+        if gateway.fleet.membership.grants_contact() {
+            gateway.cx.contact.borrow_mut().granted(now);
         } else {
-            let round = gateway.touch.questions.borrow_mut().ask(now);
+            let round = gateway.leadership.questions.borrow_mut().ask(now);
             for source in gateway.short_contact_sources() {
                 peers.send(source, &PeerMessage::ContactAsked { round });
             }
--- a/crates/dyketally-gateway/src/succession/survey.rs
+++ b/crates/dyketally-gateway/src/succession/survey.rs
@@ -7,8 +7,8 @@
 use dyketally::failover::Candidate;
 use dyketally::identifiers::{DatabaseName, GroupName};
 
+use crate::database::target::Target;
 use crate::ports::OwnStatement;
-use crate::statement::target::Target;
 use crate::succession::failover::Failover;
 
 /// How long a database may take to tell its status.
@@ -34,7 +34,7 @@
 
 impl Failover {
     pub(super) fn replica_count(&self, group: &GroupName, old: Option<&Target>) -> usize {
-        let directory = self.gateway.directory.borrow();
+        let directory = self.gateway.databases.directory.borrow();
         let members = directory.members(group);
         let replicas = members.filter(|member| {
             member.state != MemberState::Gone && old.is_none_or(|old| &old.name != member.name())
@@ -79,7 +79,7 @@
             survey.candidates.push(Candidate {
                 received: status.map(|status| status.received),
                 ready,
-                cold: self.gateway.loading(&target.name).is_cold(),
+                cold: self.gateway.databases.loading(&target.name).is_cold(),
                 name: target.name,
                 preference,
             });
@@ -88,7 +88,7 @@
     }
 
     fn members_but(&self, group: &GroupName, old: Option<&Target>) -> Vec<(Target, bool, u32)> {
-        let directory = self.gateway.directory.borrow();
+        let directory = self.gateway.databases.directory.borrow();
         let members = directory.members(group).filter(|member| {
             member.state != MemberState::Gone && old.is_none_or(|old| &old.name != member.name())
         });
@@ -108,7 +108,7 @@
 
     /// Leaves only those candidates ready that are in `regions`.
     pub(super) fn restrict(&self, candidates: &mut [Candidate], regions: &ServingRegions) {
-        let directory = self.gateway.directory.borrow();
+        let directory = self.gateway.databases.directory.borrow();
         for candidate in candidates {
             let member = directory.member(&candidate.name);
             let zone = member.map(|member| &member.announcement.zone);
--- a/crates/dyketally-store/src/lib.rs
+++ b/crates/dyketally-store/src/lib.rs
@@ -2,6 +2,7 @@
 
 pub mod error;
 pub mod key_value;
+pub mod update;
 pub mod watch;
 
 pub use error::StoreError;
