--- a/crates/dyketally-gateway/tests/logs_page.rs
+++ b/crates/dyketally-gateway/tests/logs_page.rs
@@ -35,7 +35,7 @@
 
 fn counters() -> Vec<String> {
     let own = fields("src/counters.rs", ": Counter,");
-    let store = fields("src/store/metered_store.rs", ": AtomicU64,");
+    let store = fields("src/counters.rs", ": AtomicU64,");
     [own, store].concat()
 }
 
@@ -45,7 +45,9 @@
     let fields = text
         .lines()
         .filter_map(|line| line.trim().strip_suffix(suffix));
-    fields.map(|field| field.replace("pub ", "")).collect()
+    fields
+        .map(|field| field.replace("pub(crate) ", "").replace("pub ", ""))
+        .collect()
 }
 
 #[test]
