--- a/crates/dyketally-gateway/src/context/mod.rs
+++ b/crates/dyketally-gateway/src/context/mod.rs
@@ -3,6 +3,7 @@
 //!
 //! Relies on nothing above it: every part is built with an `Rc<Context>`.
 
+mod accept;
 mod changes;
 mod clock;
 mod configuration;
@@ -14,6 +15,7 @@
 
 use dyketally::time::Timestamp;
 
+pub use self::accept::accept;
 pub use self::changes::Changes;
 pub use self::clock::Clock;
 pub use self::configuration::Configuration;
--- a/crates/dyketally-gateway/src/fleet/relay.rs
+++ b/crates/dyketally-gateway/src/fleet/relay.rs
@@ -11,12 +11,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
+use crate::context::accept;
 use crate::database::connection::prepare_socket;
 use crate::database::pool::OPEN_LIMIT;
 use crate::fleet::home;
 use crate::gateway::Gateway;
 use crate::store::feed;
 
+/// Pause before a connection is accepted after a failure; not measured.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 const LONGEST_REQUEST: usize = 512;
 /// Connections that a node relays at one time.
 const RELAYED_AT_MOST: usize = 64;
@@ -62,10 +65,7 @@
 pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener) {
     let relayed = Rc::new(());
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(50)).await;
-            continue;
-        };
+        let stream = accept(&listener, ACCEPT_PAUSE).await;
         let gateway = gateway.clone();
         let relayed = relayed.clone();
         tokio::task::spawn_local(async move {
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -1,24 +1,24 @@
 //! One process of the gateway, assembled from settings and adapters, from start to planned stop.
+//!
+//! Owns the process's sockets and tasks; relies on all other parts, and nothing relies on it.
 
 mod exposition;
+mod listen;
 mod metrics;
 mod readiness;
+mod stop;
+mod updates;
 
-use std::collections::HashMap;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-use dyketally::directory::{Announcement, DirectoryChange};
-use dyketally::identifiers::ZoneName;
 use dyketally_store::KeyValueStore;
-use dyketally_store::key_value::{Entry, Key, WatchEvent};
 use eyre::WrapErr;
-use tokio::net::{TcpListener, UdpSocket};
+use tokio::net::UdpSocket;
 use tokio::signal::unix::{SignalKind, signal};
-use tokio::time::Instant;
 
-use crate::context::StopPhase;
+use self::listen::bind;
 use crate::event::Event;
 use crate::fleet::liveness::Liveness;
 use crate::fleet::member::Member;
@@ -33,8 +33,7 @@
 };
 use crate::session;
 use crate::settings::Settings;
-use crate::store::feed::{Follower, Sink, Subject, ask_seeds};
-use crate::store::follow::{FirstRead, Followed, Gathering, follow};
+use crate::store::feed::ask_seeds;
 use crate::store::metered_store::StoreCalls;
 use crate::store::unconfirmed::tell_unconfirmed;
 use crate::succession::duty::DutyKeeper;
@@ -42,24 +41,9 @@
 use crate::succession::fence::FenceKeeper;
 use crate::succession::lead::keep_in_touch;
 use crate::succession::short_contact::keep_short_contact;
-use dyketally_store::update::StoreUpdate;
 
 /// Pause between two rounds of tidying up.
 const TIDY_INTERVAL: Duration = Duration::from_secs(5);
-/// Share of the time to stop after which the process ends whatever is open.
-const STOP_SHARE: f64 = 0.85;
-/// Share of the time to stop that open transactions get.
-const TRANSACTIONS_SHARE: f64 = 0.52;
-/// How long probes take to notice that the node isn't ready, and callers to go elsewhere.
-const NOTICED_AFTER: Duration = Duration::from_millis(2_300);
-/// How long giving back the node's keys may take.
-const LEAVE_LIMIT: Duration = Duration::from_millis(500);
-/// Pause after databases changed before further changes are taken in, for each database.
-const ANNOUNCEMENTS_GATHERING: Duration = Duration::from_millis(20);
-/// Pause after nodes came or went before further ones are taken in, for each node.
-const NODES_GATHERING: Duration = Duration::from_millis(14);
-/// Pause between two looks whether all sessions have ended.
-const STOP_LOOK: Duration = Duration::from_millis(50);
 
 /// What connects the gateway to the world around it.
 pub struct Adapters {
@@ -141,14 +125,14 @@
     tokio::task::spawn_local(tidy(gateway.clone()));
     tokio::task::spawn_local(tell_unconfirmed(gateway.clone()));
     let own_key = keys.node();
-    follow_store(
+    updates::follow_store(
         &gateway,
         &adapters.store,
         &adapters.documents,
         &member,
         own_key,
     );
-    let accepting = tokio::task::spawn_local(accept(gateway.clone(), callers));
+    let accepting = tokio::task::spawn_local(session::serve_callers(gateway.clone(), callers));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -158,28 +142,13 @@
         }
     }
     let left = futures::future::join(joined, on_duty);
-    stop(&gateway, left, accepting).await;
+    stop::stop(&gateway, left, accepting).await;
     peers.broadcast(&PeerMessage::Ends {
         node: gateway.cx.settings.node.name.clone(),
     });
     Ok(())
 }
 
-async fn bind(address: std::net::SocketAddr, field: &str) -> eyre::Result<TcpListener> {
-    TcpListener::bind(address).await.wrap_err_with(|| {
-        format!("can't listen on {address}; choose a free address of this machine in `{field}`")
-    })
-}
-
-async fn accept(gateway: Rc<Gateway>, listener: TcpListener) {
-    loop {
-        match listener.accept().await {
-            Ok((stream, _)) => session::accept(&gateway, stream),
-            Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
-        }
-    }
-}
-
 async fn tidy(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(TIDY_INTERVAL).await;
@@ -198,217 +167,3 @@
         link: settings.node.link(),
     }
 }
-
-/// Stops as planned. `left` ends once the node's keys are given back.
-async fn stop(gateway: &Rc<Gateway>, left: impl Future, accepting: tokio::task::JoinHandle<()>) {
-    let began = Instant::now();
-    let bound = gateway.cx.settings.bounds.stop();
-    let last = began + bound.mul_f64(STOP_SHARE);
-    let transactions = began + bound.mul_f64(TRANSACTIONS_SHARE);
-    gateway.cx.events.write(&Event::Stopping {
-        sessions: gateway.sessions.open(),
-    });
-    gateway.cx.stop.enter(StopPhase::Leaving);
-    // The leases run out by themselves if the store doesn't answer.
-    let _ = tokio::time::timeout(LEAVE_LIMIT, left).await;
-    tokio::time::sleep_until((began + NOTICED_AFTER).min(transactions)).await;
-    accepting.abort();
-    gateway.cx.stop.enter(StopPhase::ClosingSessions);
-    wait_for_sessions(gateway, transactions).await;
-    gateway.cx.stop.enter(StopPhase::EndingTransactions);
-    wait_for_sessions(gateway, last).await;
-    gateway.tell_counters();
-    gateway.cx.events.write(&Event::Traffic {
-        sent_bytes: gateway.fleet.traffic.by_node(),
-    });
-    gateway.cx.events.write(&Event::Stopped {
-        sessions: gateway.sessions.open(),
-    });
-}
-
-async fn wait_for_sessions(gateway: &Rc<Gateway>, until: Instant) {
-    while gateway.sessions.open() + gateway.fleet.calls.get() > 0 && Instant::now() < until {
-        tokio::time::sleep(STOP_LOOK).await;
-    }
-}
-
-fn follow_store(
-    gateway: &Rc<Gateway>,
-    store: &Rc<dyn KeyValueStore>,
-    documents: &Rc<dyn StoredDocuments>,
-    member: &Rc<Member>,
-    own_key: Key,
-) {
-    let reader = Reader {
-        gateway: gateway.clone(),
-        documents: documents.clone(),
-    };
-    let configuration = reader.clone();
-    let configuration: Sink = Rc::new(move |update| configuration.take_configuration(update));
-    let announcements: Sink = Rc::new(move |update| reader.take_announcements(update));
-    let member = member.clone();
-    let nodes: Sink = Rc::new(move |update| member.take_in(update));
-    let start = |prefix, gathering, subject, first, sink: &Sink| {
-        let followed = Followed {
-            prefix,
-            gathering,
-            subject,
-            first,
-        };
-        let following = follow(gateway.clone(), store.clone(), followed, sink.clone());
-        tokio::task::spawn_local(following);
-    };
-    start(
-        documents.operators_prefix(),
-        Gathering::Bursts,
-        Subject::Configuration,
-        FirstRead::Stale,
-        &configuration,
-    );
-    start(
-        documents.announcements_prefix(),
-        Gathering::PerKey(ANNOUNCEMENTS_GATHERING),
-        Subject::Announcements,
-        // An old list may name a primary that was replaced meanwhile.
-        FirstRead::Newest,
-        &announcements,
-    );
-    start(
-        documents.own_prefix(),
-        Gathering::PerKey(NODES_GATHERING),
-        Subject::Nodes,
-        FirstRead::Stale,
-        &nodes,
-    );
-    let sinks = HashMap::from([
-        (Subject::Configuration, configuration),
-        (Subject::Announcements, announcements),
-        (Subject::Nodes, nodes),
-    ]);
-    let follower = Follower::new(gateway.clone(), sinks, store.clone(), own_key);
-    tokio::task::spawn_local(follower.run());
-}
-
-#[derive(Clone)]
-struct Reader {
-    gateway: Rc<Gateway>,
-    documents: Rc<dyn StoredDocuments>,
-}
-
-impl Reader {
-    fn take_configuration(&self, update: StoreUpdate) {
-        match update {
-            StoreUpdate::All(entries) => {
-                for entry in &entries {
-                    self.put_in_force(entry);
-                }
-                let zones = entries
-                    .iter()
-                    .filter_map(|entry| self.evacuated(&entry.key));
-                self.gateway.evacuations_are(&zones.collect());
-            }
-            StoreUpdate::Changed(WatchEvent::Put(entry)) => {
-                self.put_in_force(&entry);
-                if let Some(zone) = self.evacuated(&entry.key) {
-                    self.gateway.evacuation_requested(zone);
-                }
-            }
-            StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => {
-                if let Some(zone) = self.evacuated(&key) {
-                    self.gateway.evacuation_taken_back(&zone);
-                }
-            }
-        }
-    }
-
-    fn evacuated(&self, key: &Key) -> Option<ZoneName> {
-        self.documents.evacuated_zone(&key.to_string())
-    }
-
-    fn put_in_force(&self, entry: &Entry) {
-        if entry.key != Key::from(self.documents.configuration_key()) {
-            return;
-        }
-        match self.documents.configuration(&entry.value) {
-            Ok(routes) => self.gateway.put_in_force(routes, entry.modified),
-            Err(reason) => self.refuse(&entry.key, &reason),
-        }
-    }
-
-    fn take_announcements(&self, update: StoreUpdate) {
-        let now = self.gateway.cx.now();
-        let changes: Vec<DirectoryChange> = match update {
-            StoreUpdate::All(entries) => {
-                let listed = entries.iter().filter_map(|entry| self.announcement(entry));
-                let listed: Vec<Announcement> = listed.collect();
-                self.gateway.listed_now();
-                self.doubt_unlisted(&listed);
-                let replaced = listed.clone();
-                let changes = self
-                    .gateway
-                    .databases
-                    .directory
-                    .borrow_mut()
-                    .replaced(now, replaced);
-                listed.iter().for_each(|it| self.gateway.heard_of_start(it));
-                changes
-            }
-            StoreUpdate::Changed(WatchEvent::Put(entry)) => {
-                let Some(announcement) = self.announcement(&entry) else {
-                    return;
-                };
-                let mut directory = self.gateway.databases.directory.borrow_mut();
-                let change = directory.announced(now, announcement.clone());
-                drop(directory);
-                self.gateway.heard_of_start(&announcement);
-                change.into_iter().collect()
-            }
-            StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => {
-                if let Some(name) = self.documents.announced_database(&key.to_string()) {
-                    self.gateway
-                        .databases
-                        .directory
-                        .borrow_mut()
-                        .vanished(now, &name);
-                    self.gateway.start_is_unknown(&name);
-                }
-                Vec::new()
-            }
-        };
-        if !changes.is_empty() {
-            self.gateway.directory_changed(changes);
-        }
-        self.gateway.settle_unlisted_later();
-    }
-
-    fn doubt_unlisted(&self, listed: &[Announcement]) {
-        for (name, loading) in self.gateway.databases.loadings() {
-            if listed
-                .iter()
-                .all(|announcement| announcement.database != name)
-            {
-                loading.doubted();
-            }
-        }
-    }
-
-    fn announcement(&self, entry: &Entry) -> Option<Announcement> {
-        let read = self
-            .documents
-            .announcement(&entry.key.to_string(), &entry.value);
-        match read {
-            Ok(announcement) => Some(announcement),
-            Err(reason) => {
-                self.refuse(&entry.key, &reason);
-                None
-            }
-        }
-    }
-
-    fn refuse(&self, key: &Key, reason: &str) {
-        self.gateway.cx.events.write(&Event::DocumentRefused {
-            key: &key.to_string(),
-            reason,
-        });
-    }
-}
--- a/crates/dyketally-gateway/src/node/readiness.rs
+++ b/crates/dyketally-gateway/src/node/readiness.rs
@@ -6,6 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
+use crate::context::accept;
 use crate::gateway::Gateway;
 use crate::ports::ReadinessProtocol;
 
@@ -13,6 +14,8 @@
 const HEAD_AT_MOST: usize = 4_096;
 /// How long a probing connection may rest.
 const REST_LIMIT: Duration = Duration::from_secs(30);
+/// Pause before a connection is accepted after a failure; not measured.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// Serves probes until the process ends.
@@ -22,13 +25,9 @@
     listener: TcpListener,
 ) {
     loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                let probes = answer_probes(gateway.clone(), protocol.clone(), stream);
-                tokio::task::spawn_local(tokio::time::timeout(REST_LIMIT, probes));
-            }
-            Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
-        }
+        let stream = accept(&listener, ACCEPT_PAUSE).await;
+        let probes = answer_probes(gateway.clone(), protocol.clone(), stream);
+        tokio::task::spawn_local(tokio::time::timeout(REST_LIMIT, probes));
     }
 }
 
@@ -37,23 +36,34 @@
     protocol: Rc<dyn ReadinessProtocol>,
     mut stream: TcpStream,
 ) -> std::io::Result<()> {
-    let mut head = Vec::new();
+    let mut input = Vec::new();
+    while let Some(head) = next_head(&mut stream, &mut input).await? {
+        let response = protocol.respond(&head, gateway.is_ready());
+        stream.write_all(response.as_bytes()).await?;
+    }
+    Ok(())
+}
+
+/// The head of the next request, taken out of `input`, which keeps what was read beyond it; `None` when
+/// the connection ends or the head is too long.
+pub(super) async fn next_head(
+    stream: &mut TcpStream,
+    input: &mut Vec<u8>,
+) -> std::io::Result<Option<String>> {
     loop {
-        if let Some(end) = head_end(&head) {
-            let text = String::from_utf8_lossy(&head[..end]).into_owned();
-            head.drain(..end);
-            let response = protocol.respond(&text, gateway.is_ready());
-            stream.write_all(response.as_bytes()).await?;
-            continue;
+        if let Some(end) = head_end(input) {
+            let head = String::from_utf8_lossy(&input[..end]).into_owned();
+            input.drain(..end);
+            return Ok(Some(head));
         }
-        if head.len() > HEAD_AT_MOST || stream.read_buf(&mut head).await? == 0 {
-            return Ok(());
+        if input.len() > HEAD_AT_MOST || stream.read_buf(input).await? == 0 {
+            return Ok(None);
         }
     }
 }
 
 /// Where the head of a request ends, once it is whole.
-pub(super) fn head_end(bytes: &[u8]) -> Option<usize> {
+fn head_end(bytes: &[u8]) -> Option<usize> {
     let mut windows = bytes.windows(HEAD_END.len());
     let start = windows.position(|window| window == HEAD_END)?;
     Some(start + HEAD_END.len())
--- a/crates/dyketally-gateway/src/session/mod.rs
+++ b/crates/dyketally-gateway/src/session/mod.rs
@@ -7,6 +7,7 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
+use std::time::Duration;
 
 use bytes::Bytes;
 use dyketally::capacity::SessionVerdict;
@@ -15,14 +16,14 @@
 use dyketally::statement::{FailureKind, PreparedStatement, StatementKind, TransactionState};
 use dyketally::tenant::ApiKey;
 use dyketally::time::Timestamp;
-use tokio::net::TcpStream;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
 use self::admission::Admission;
 use self::caller::{Caller, Next};
 use self::sessions::OpenSession;
 pub use self::sessions::Sessions;
-use crate::context::StopPhase;
+use crate::context::{StopPhase, accept};
 use crate::database::connection::prepare_socket;
 use crate::gateway::Gateway;
 use crate::ports::{CallerMessage, CallerStatement};
@@ -31,6 +32,9 @@
 use crate::statement::request::{Execution, Request, Served};
 use crate::statement::transaction::{Transaction, TransactionAnswer};
 
+/// Pause before a caller is accepted after a failure: shorter than for other listeners, since callers wait;
+/// not measured.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Why a statement is refused whose tenant has used up its quota.
 const OVER_QUOTA: &str = "the tenant's quota";
 /// Why a transaction is given up whose key may have been taken away unnoticed.
@@ -38,8 +42,16 @@
 /// What signs a statement that the gateway answers itself.
 const OWN_SIGNATURE: &[u8] = b"-";
 
+/// Serves callers until the task is aborted.
+pub async fn serve_callers(gateway: Rc<Gateway>, listener: TcpListener) {
+    loop {
+        let stream = accept(&listener, ACCEPT_PAUSE).await;
+        admit(&gateway, stream);
+    }
+}
+
 /// Serves a connection that a caller opened, or refuses it where there is no room.
-pub fn accept(gateway: &Rc<Gateway>, stream: TcpStream) {
+fn admit(gateway: &Rc<Gateway>, stream: TcpStream) {
     let verdict = gateway.sessions.judge();
     if verdict != SessionVerdict::Serve {
         gateway.cx.counters.sessions_refused.add();
