--- a/crates/dyketally-gateway/src/lib.rs
+++ b/crates/dyketally-gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //! tasks of a process run on one thread, so state is shared without locks.
 
 mod counters;
-mod database;
+pub mod database;
 mod event;
 pub mod fleet;
 mod gateway;
--- /dev/null
+++ b/crates/dyketally-gateway/tests/wire/datagrams.rs
@@ -0,0 +1,322 @@
+//! The datagrams between nodes.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use dyketally::failover::{Evidence, FenceId, StandingFence};
+use dyketally::identifiers::{DatabaseName, Locality, NodeName};
+use dyketally::placement::LinkClass;
+use dyketally::quota::{Decision, Role};
+use dyketally_gateway::fleet::membership::NodeRecord;
+use dyketally_gateway::fleet::message::PeerMessage;
+
+use crate::pin::{Sample, check, check_complete, variants};
+
+const FIXTURE: &str = include_str!("datagrams.txt");
+
+variants! {
+    messages, PeerMessage,
+    PeerMessage::Suspect { .. } => "suspect",
+    PeerMessage::Poll { .. } => "poll",
+    PeerMessage::Vote { .. } => "vote",
+    PeerMessage::HasDuty { .. } => "has_duty",
+    PeerMessage::Fence { .. } => "fence",
+    PeerMessage::FenceReply { .. } => "fence_reply",
+    PeerMessage::LiftFence { .. } => "lift_fence",
+    PeerMessage::AreYouThere { .. } => "are_you_there",
+    PeerMessage::Here { .. } => "here",
+    PeerMessage::ContactAsked { .. } => "contact_asked",
+    PeerMessage::ContactTold { .. } => "contact_told",
+    PeerMessage::HeartbeatAsked => "heartbeat_asked",
+    PeerMessage::Heartbeat => "heartbeat",
+    PeerMessage::RelaysAsked { .. } => "relays_asked",
+    PeerMessage::Relays { .. } => "relays",
+    PeerMessage::PermitAsked { .. } => "permit_asked",
+    PeerMessage::PermitDecided { .. } => "permit_decided",
+    PeerMessage::ReachAsked { .. } => "reach_asked",
+    PeerMessage::ReachReply { .. } => "reach_reply",
+    PeerMessage::Ends { .. } => "ends",
+    PeerMessage::Leads { .. } => "leads",
+}
+
+variants! {
+    evidence, Evidence,
+    Evidence::Answered => "answered",
+    Evidence::Refused => "refused",
+    Evidence::Silent => "silent",
+}
+
+variants! {
+    roles, Role,
+    Role::Accountant => "accountant",
+    Role::StandIn => "stand-in",
+}
+
+variants! {
+    decisions, Decision,
+    Decision::Granted { .. } => "granted",
+    Decision::Refused { .. } => "refused",
+}
+
+fn database() -> DatabaseName {
+    "ledger-1-b".into()
+}
+
+fn address() -> SocketAddr {
+    "192.0.2.17:7400".parse().expect("an address")
+}
+
+fn address_v6() -> SocketAddr {
+    "[2001:db8::17]:7400".parse().expect("an address")
+}
+
+fn record(link: LinkClass, address: SocketAddr) -> NodeRecord {
+    NodeRecord {
+        node: "node-17".into(),
+        address,
+        locality: Locality {
+            region: "de".into(),
+            zone: "de-rosenheim".into(),
+        },
+        weight: 300,
+        link,
+    }
+}
+
+fn fences() -> Vec<StandingFence> {
+    vec![
+        StandingFence {
+            database: database(),
+            id: FenceId(u64::MAX),
+            age: Duration::from_millis(1_250),
+        },
+        StandingFence {
+            database: "ledger-2-a".into(),
+            id: FenceId(3),
+            age: Duration::ZERO,
+        },
+    ]
+}
+
+fn vote(evidence: Evidence, store_lost: bool) -> PeerMessage {
+    PeerMessage::Vote {
+        poll: 300,
+        evidence,
+        store_lost,
+    }
+}
+
+fn permit_asked(role: Role) -> PeerMessage {
+    PeerMessage::PermitAsked {
+        round: 9,
+        tenant: "bikes".into(),
+        wanted: 200,
+        role,
+    }
+}
+
+fn failover_samples() -> Vec<Sample<PeerMessage>> {
+    vec![
+        (
+            "suspect",
+            PeerMessage::Suspect {
+                group: "ledger-1".into(),
+                database: database(),
+            },
+        ),
+        (
+            "poll",
+            PeerMessage::Poll {
+                poll: 300,
+                group: "ledger-1".into(),
+                database: database(),
+            },
+        ),
+        ("vote/answered", vote(Evidence::Answered, false)),
+        ("vote/refused", vote(Evidence::Refused, true)),
+        ("vote/silent", vote(Evidence::Silent, false)),
+        (
+            "has_duty",
+            PeerMessage::HasDuty {
+                record: record(LinkClass::default(), address()),
+            },
+        ),
+        (
+            "has_duty/fast link, IPv6",
+            PeerMessage::HasDuty {
+                record: record(LinkClass::of_megabits(1_000.0), address_v6()),
+            },
+        ),
+        (
+            "fence",
+            PeerMessage::Fence {
+                round: 7,
+                database: database(),
+                id: FenceId(u64::MAX),
+                suspected_ms: 400,
+            },
+        ),
+        (
+            "fence_reply/none heard",
+            PeerMessage::FenceReply {
+                round: 7,
+                contested: true,
+                heard: Vec::new(),
+            },
+        ),
+        (
+            "fence_reply/two heard",
+            PeerMessage::FenceReply {
+                round: 7,
+                contested: false,
+                heard: vec![address(), address_v6()],
+            },
+        ),
+        (
+            "lift_fence",
+            PeerMessage::LiftFence {
+                database: database(),
+                id: FenceId(3),
+            },
+        ),
+        (
+            "leads",
+            PeerMessage::Leads {
+                group: "ledger-1".into(),
+                database: database(),
+            },
+        ),
+    ]
+}
+
+fn contact_samples() -> Vec<Sample<PeerMessage>> {
+    vec![
+        ("are_you_there", PeerMessage::AreYouThere { round: 8 }),
+        (
+            "here/no fences",
+            PeerMessage::Here {
+                round: 8,
+                fenced: Vec::new(),
+            },
+        ),
+        (
+            "here/two fences",
+            PeerMessage::Here {
+                round: 8,
+                fenced: fences(),
+            },
+        ),
+        ("contact_asked", PeerMessage::ContactAsked { round: 200 }),
+        (
+            "contact_told/none",
+            PeerMessage::ContactTold {
+                round: 200,
+                granted_ms: None,
+                majority_ms: None,
+                fenced: Vec::new(),
+            },
+        ),
+        (
+            "contact_told/both",
+            PeerMessage::ContactTold {
+                round: 200,
+                granted_ms: Some(0),
+                majority_ms: Some(800),
+                fenced: fences(),
+            },
+        ),
+        ("heartbeat_asked", PeerMessage::HeartbeatAsked),
+        ("heartbeat", PeerMessage::Heartbeat),
+    ]
+}
+
+fn other_samples() -> Vec<Sample<PeerMessage>> {
+    vec![
+        (
+            "relays_asked",
+            PeerMessage::RelaysAsked {
+                zone: "de-rosenheim".into(),
+            },
+        ),
+        (
+            "relays",
+            PeerMessage::Relays {
+                relays: vec![address(), address_v6()],
+            },
+        ),
+        ("permit_asked/accountant", permit_asked(Role::Accountant)),
+        ("permit_asked/stand-in", permit_asked(Role::StandIn)),
+        (
+            "permit_decided/granted",
+            PeerMessage::PermitDecided {
+                round: 9,
+                decision: Decision::Granted {
+                    operations: 200,
+                    after: Duration::from_millis(35),
+                    strained: true,
+                },
+            },
+        ),
+        (
+            "permit_decided/refused",
+            PeerMessage::PermitDecided {
+                round: 9,
+                decision: Decision::Refused {
+                    retry_after: Duration::from_millis(2_500),
+                },
+            },
+        ),
+        ("reach_asked", PeerMessage::ReachAsked { round: 10 }),
+        ("reach_reply", PeerMessage::ReachReply { round: 10 }),
+        (
+            "ends",
+            PeerMessage::Ends {
+                node: NodeName::new("node-17"),
+            },
+        ),
+    ]
+}
+
+fn samples() -> Vec<Sample<PeerMessage>> {
+    let mut samples = failover_samples();
+    samples.extend(contact_samples());
+    samples.extend(other_samples());
+    samples
+}
+
+#[test]
+fn datagrams_keep_their_bytes() {
+    check(FIXTURE, &samples());
+}
+
+/// The strings are labels of metrics.
+#[test]
+fn datagrams_keep_their_kinds() {
+    for (label, message) in samples() {
+        let kind = label.split('/').next();
+        assert_eq!(Some(message.kind()), kind);
+        assert_eq!(message.kind(), messages::name(&message));
+    }
+}
+
+#[test]
+fn each_datagram_is_pinned() {
+    let samples = samples();
+    let messages = samples.iter().map(|(_, message)| messages::name(message));
+    check_complete(messages::ALL, messages);
+    let evidence = samples.iter().filter_map(|(_, message)| match message {
+        PeerMessage::Vote { evidence, .. } => Some(evidence::name(evidence)),
+        _ => None,
+    });
+    check_complete(evidence::ALL, evidence);
+    let roles = samples.iter().filter_map(|(_, message)| match message {
+        PeerMessage::PermitAsked { role, .. } => Some(roles::name(role)),
+        _ => None,
+    });
+    check_complete(roles::ALL, roles);
+    let decisions = samples.iter().filter_map(|(_, message)| match message {
+        PeerMessage::PermitDecided { decision, .. } => Some(decisions::name(decision)),
+        _ => None,
+    });
+    check_complete(decisions::ALL, decisions);
+}
