--- a/crates/dyketally-gateway/tests/reach.rs
+++ b/crates/dyketally-gateway/tests/reach.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dyketally_gateway::statement::reach::Unled;
+use dyketally_gateway::database::availability::PrimaryAvailability;
 use rstest::rstest;
 use tokio::time::{Instant, advance};
 
@@ -16,47 +16,47 @@
 #[case(4, true)]
 #[case(9, true)]
 #[tokio::test(start_paused = true)]
-async fn a_primary_is_out_of_reach_once_attempts_failed_for_long(
+async fn a_primary_is_unavailable_once_attempts_failed_for_long(
     #[case] attempts: u32,
     #[case] out_of_reach: bool,
 ) {
-    let unled = Unled::default();
+    let unled = PrimaryAvailability::default();
     for _ in 0..attempts {
-        unled.missed();
+        unled.attempt_failed();
         assert!(unled.wait_until(Instant::now() + PAUSE * 9) > Instant::now());
         advance(PAUSE).await;
     }
-    unled.missed();
-    assert_eq!(unled.is_out_of_reach(), out_of_reach);
+    unled.attempt_failed();
+    assert_eq!(unled.is_unavailable(), out_of_reach);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_ends_it() {
-    let unled = Unled::default();
+    let unled = PrimaryAvailability::default();
     for _ in 0..9 {
-        unled.missed();
+        unled.attempt_failed();
         advance(PAUSE).await;
     }
-    assert!(unled.is_out_of_reach());
+    assert!(unled.is_unavailable());
     unled.answered();
-    assert!(!unled.is_out_of_reach());
+    assert!(!unled.is_unavailable());
 }
 
 /// Two losses that lie apart are two: the second primary is waited for as long as the first.
 #[tokio::test(start_paused = true)]
 async fn a_loss_long_ago_doesnt_shorten_the_next_wait() {
-    let unled = Unled::default();
-    unled.missed();
+    let unled = PrimaryAvailability::default();
+    unled.attempt_failed();
     advance(PAUSE * 9).await;
-    unled.missed();
-    assert!(!unled.is_out_of_reach());
+    unled.attempt_failed();
+    assert!(!unled.is_unavailable());
     let latest = Instant::now() + PAUSE * 9;
     assert!(unled.wait_until(latest) > Instant::now() + PAUSE * 3);
 }
 
 #[tokio::test(start_paused = true)]
 async fn nobody_waits_past_the_statements_time() {
-    let unled = Unled::default();
+    let unled = PrimaryAvailability::default();
     let latest = Instant::now() + PAUSE / 10;
     assert_eq!(unled.wait_until(latest), latest);
 }
--- a/crates/dyketally-gateway/tests/wire/openings.rs
+++ b/crates/dyketally-gateway/tests/wire/openings.rs
@@ -1,6 +1,6 @@
 //! What a node sends first on a connection to another one, with its length in front.
 
-use dyketally_gateway::fleet::relay::{self, Opening};
+use dyketally_gateway::fleet::forwarding::{self, Opening};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
@@ -11,7 +11,7 @@
 
 variants! {
     openings, Opening,
-    Opening::Relay { .. } => "relay",
+    Opening::Forward { .. } => "relay",
     Opening::Calls => "calls",
     Opening::Feed => "feed",
 }
@@ -20,7 +20,7 @@
     vec![
         (
             "relay",
-            Opening::Relay {
+            Opening::Forward {
                 database: "ledger-1-b".into(),
             },
         ),
@@ -45,7 +45,9 @@
 async fn sent(opening: &Opening) -> Vec<u8> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let opened = relay::open(address, opening).await.expect("a connection");
+    let opened = forwarding::open(address, opening)
+        .await
+        .expect("a connection");
     let (mut accepted, _) = listener.accept().await.expect("a connection");
     drop(opened);
     let mut bytes = Vec::new();
