--- a/crates/dyketally-gateway/src/store/feed/message.rs
+++ b/crates/dyketally-gateway/src/store/feed/message.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Subject;
-use crate::succession::lead::RelayContact;
+pub use crate::succession::lead::RelayContact;
 
 /// Messages from this length on are compressed, in bytes: a configuration may have hundreds of
 /// kilobytes, and a relay sends it to all of its followers.
@@ -24,20 +24,29 @@
 
 /// What a relay sends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) enum FeedMessage {
+pub enum FeedMessage {
     /// All keys of a subject, and the store's revision up to which nothing is missing: a deletion
     /// before it leaves no other trace.
     Whole {
+        /// The subject.
         subject: Subject,
+        /// That revision.
         complete_to: StoreRevision,
+        /// The keys.
         entries: Vec<Entry>,
     },
     /// A key changed.
-    Changed { subject: Subject, event: WatchEvent },
+    Changed {
+        /// The key's subject.
+        subject: Subject,
+        /// The change.
+        event: WatchEvent,
+    },
     /// The reply to a ping, and the first message of a relay.
     Pong {
         /// The ping; zero in the first message.
         ping: u64,
+        /// How lately the relay was in touch.
         contact: RelayContact,
         /// How long ago the relay's configuration was confirmed to be the newest one; `None` while it
         /// never was.
@@ -45,45 +54,55 @@
     },
     /// The follower has all keys of a subject as they are, by its digest.
     Unchanged {
+        /// The subject.
         subject: Subject,
+        /// The store's revision up to which nothing is missing.
         complete_to: StoreRevision,
     },
     /// A long value changed a little.
-    Patched { subject: Subject, patch: Patch },
+    Patched {
+        /// The key's subject.
+        subject: Subject,
+        /// The change.
+        patch: Patch,
+    },
 }
 
 /// A change as the difference to the version of the key that the follower has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Patch {
+pub struct Patch {
     /// When that version was put.
     pub from: StoreRevision,
     /// The new version, without its value.
     pub entry: Entry,
+    /// How to make the new value out of the old one.
     pub delta: Delta,
 }
 
 /// What a follower sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Ping {
+pub struct Ping {
     /// Counts up from one.
     pub number: u64,
 }
 
 /// What a follower sends first: a ping, and what it has already.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct FirstPing {
+pub struct FirstPing {
+    /// The ping.
     pub ping: Ping,
+    /// Digests of the follower's copies.
     pub known: Vec<(Subject, Digest)>,
 }
 
 /// Stands for the keys of a copy and the revisions at which they were put last. The hash may differ
 /// between builds, and the copy is then sent as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Digest(u64);
+pub struct Digest(pub u64);
 
 impl Digest {
     /// The digest of a copy.
-    pub(super) fn of<'a>(entries: impl Iterator<Item = &'a Entry>) -> Self {
+    pub fn of<'a>(entries: impl Iterator<Item = &'a Entry>) -> Self {
         let mut hasher = DefaultHasher::new();
         for entry in entries {
             entry.key.hash(&mut hasher);
@@ -94,7 +113,7 @@
 }
 
 /// Encodes a message; `None` if it can't be.
-pub(super) fn encode(message: &impl Serialize) -> Option<Bytes> {
+pub fn encode(message: &impl Serialize) -> Option<Bytes> {
     let body = postcard::to_stdvec(message).ok()?;
     let compressed = body.len() >= COMPRESSED_FROM;
     let mut encoded = vec![u8::from(compressed)];
@@ -109,7 +128,7 @@
 }
 
 /// Decodes a message; `None` if it is none.
-pub(super) fn decode<T: DeserializeOwned>(encoded: &[u8]) -> Option<T> {
+pub fn decode<T: DeserializeOwned>(encoded: &[u8]) -> Option<T> {
     let (compressed, body) = encoded.split_first()?;
     if *compressed == 0 {
         return postcard::from_bytes(body).ok();
--- a/crates/dyketally-gateway/src/store/feed/mod.rs
+++ b/crates/dyketally-gateway/src/store/feed/mod.rs
@@ -9,7 +9,7 @@
 mod copy;
 mod follow;
 mod following;
-mod message;
+pub mod message;
 mod nearer;
 mod news;
 pub mod pings;
--- /dev/null
+++ b/crates/dyketally-gateway/tests/stored_keys.rs
@@ -0,0 +1,156 @@
+//! Keys and values that nodes keep in the store.
+//!
+//! Nodes of two builds run side by side while a release rolls out, and read each other's keys: neither a
+//! key nor a field of a record may get another name. Each fixture is read back as well.
+
+use std::net::SocketAddr;
+
+use bytes::Bytes;
+use dyketally::failover::FenceId;
+use dyketally::identifiers::{DatabaseName, Locality, NodeName, RegionName, ZoneName};
+use dyketally::placement::LinkClass;
+use dyketally_gateway::fleet::membership::{Keys, NodeRecord};
+use dyketally_store::key_value::{Entry, Key, LeaseId, Operation, PutRequest, StoreRevision};
+use rstest::rstest;
+
+const PREFIX: &str = "proxy/";
+
+/// What a node keeps under its name, and the failover coordinator under its own key.
+const RECORD: &str = r#"{"node":"n-1","address":"10.0.0.7:7401","locality":{"region":"south","zone":"south-a"},"weight":16,"link":4}"#;
+/// The same of a build that doesn't know links yet.
+const RECORD_WITHOUT_LINK: &str = r#"{"node":"n-1","address":"10.0.0.7:7401","locality":{"region":"south","zone":"south-a"},"weight":16}"#;
+/// The same of a node that listens on IPv6.
+const RECORD_ON_IPV6: &str = r#"{"node":"n-1","address":"[::1]:7401","locality":{"region":"south","zone":"south-a"},"weight":16,"link":0}"#;
+
+fn record(address: &str, link: LinkClass) -> NodeRecord {
+    NodeRecord {
+        node: NodeName::from("n-1"),
+        address: address.parse::<SocketAddr>().expect("an address"),
+        locality: Locality {
+            region: RegionName::from("south"),
+            zone: ZoneName::from("south-a"),
+        },
+        weight: 16,
+        link,
+    }
+}
+
+fn own_keys() -> Keys {
+    let link = LinkClass::of_megabits(300.0);
+    Keys::new(PREFIX.to_owned(), record("10.0.0.7:7401", link))
+}
+
+fn put(operation: Operation) -> PutRequest {
+    match operation {
+        Operation::Put(put) => put,
+        Operation::Delete(_) | Operation::Range(_) => panic!("no put"),
+    }
+}
+
+fn entry(key: Key, value: &'static [u8]) -> Entry {
+    Entry {
+        key,
+        value: Bytes::from_static(value),
+        created: StoreRevision(4),
+        modified: StoreRevision(9),
+        lease: Some(LeaseId(3)),
+    }
+}
+
+#[test]
+fn keys_have_these_names() {
+    let keys = own_keys();
+    let name = |key: Key| key.to_string();
+    assert_eq!(name(keys.node()), "proxy/nodes/n-1");
+    assert_eq!(
+        name(keys.of_node(&NodeName::from("n-2"))),
+        "proxy/nodes/n-2"
+    );
+    assert_eq!(name(keys.duty()), "proxy/duty/primary-control");
+    let database = DatabaseName::from("ledger-1");
+    assert_eq!(name(keys.fence(&database)), "proxy/fences/ledger-1");
+}
+
+#[rstest]
+#[case::of_a_fence("proxy/fences/ledger-1", Some("ledger-1"))]
+#[case::of_a_fence_whose_name_has_a_slash("proxy/fences/a/b", Some("a/b"))]
+#[case::of_a_node("proxy/nodes/n-1", None)]
+#[case::of_the_coordinator("proxy/duty/primary-control", None)]
+#[case::below_another_prefix("other/fences/ledger-1", None)]
+fn a_key_names_the_fenced_database(#[case] key: &str, #[case] database: Option<&str>) {
+    let fenced = own_keys().fenced(&Key::from(key));
+    assert_eq!(fenced, database.map(DatabaseName::from));
+}
+
+/// A node puts the same record under its own key and under the coordinator's.
+#[test]
+fn a_node_puts_its_record_as_json() {
+    let keys = own_keys();
+    for key in [keys.node(), keys.duty()] {
+        let put = put(keys.put(key.clone(), LeaseId(3)));
+        assert_eq!(put.key, key);
+        assert_eq!(put.lease, Some(LeaseId(3)));
+        assert_eq!(std::str::from_utf8(&put.value), Ok(RECORD));
+    }
+}
+
+#[rstest]
+#[case::with_its_link(RECORD, "10.0.0.7:7401", LinkClass::of_megabits(300.0))]
+#[case::of_a_build_that_does_not_tell_links(
+    RECORD_WITHOUT_LINK,
+    "10.0.0.7:7401",
+    LinkClass::default()
+)]
+#[case::on_ipv6(RECORD_ON_IPV6, "[::1]:7401", LinkClass::default())]
+fn a_record_is_read(#[case] json: &str, #[case] address: &str, #[case] link: LinkClass) {
+    let read: NodeRecord = serde_json::from_str(json).expect("a record");
+    assert_eq!(read, record(address, link));
+}
+
+/// A later build may tell more of a node.
+#[test]
+fn a_record_with_fields_of_a_later_build_is_read() {
+    let later = RECORD.replace(r#""weight""#, r#""later":{"x":1},"weight""#);
+    let read: NodeRecord = serde_json::from_str(&later).expect("a record");
+    assert_eq!(&read, own_keys().record());
+}
+
+#[rstest]
+#[case::without_weight(
+    r#"{"node":"n-1","address":"10.0.0.7:7401","locality":{"region":"south","zone":"south-a"}}"#
+)]
+#[case::empty("")]
+#[case::the_round_of_a_fence("12")]
+fn what_is_no_record_is_not_read(#[case] json: &str) {
+    assert!(serde_json::from_str::<NodeRecord>(json).is_err());
+}
+
+/// The value under a fence's key is its round in decimal digits.
+#[test]
+fn a_fence_is_put_as_its_round() {
+    let key = own_keys().fence(&DatabaseName::from("ledger-1"));
+    let put = put(Keys::put_fence(key.clone(), FenceId(u64::MAX), LeaseId(3)));
+    assert_eq!(put.key, key);
+    assert_eq!(put.lease, Some(LeaseId(3)));
+    assert_eq!(&put.value[..], b"18446744073709551615");
+}
+
+/// Text that is no round counts as a round of its own: the revision at which it was put.
+#[rstest]
+#[case::a_round(b"77", 77)]
+#[case::the_greatest_round(b"18446744073709551615", u64::MAX)]
+#[case::nothing(b"", 9)]
+#[case::no_number(b"{}", 9)]
+#[case::no_text(b"\xff", 9)]
+fn a_fence_is_read(#[case] value: &'static [u8], #[case] round: u64) {
+    let keys = own_keys();
+    let database = DatabaseName::from("ledger-1");
+    let entry = entry(keys.fence(&database), value);
+    assert_eq!(keys.fence_of(&entry), Some((database, FenceId(round))));
+}
+
+#[test]
+fn an_entry_of_a_node_is_no_fence() {
+    let keys = own_keys();
+    assert_eq!(keys.fence_of(&entry(keys.node(), RECORD.as_bytes())), None);
+}
