--- a/crates/dyketally-gateway/src/event.rs
+++ b/crates/dyketally-gateway/src/event.rs
@@ -274,12 +274,16 @@
     },
 }
 
+/// One line of the log.
 #[derive(Serialize)]
-struct Line<'a> {
-    at_ms: u64,
-    dropped: u32,
+pub struct Line<'a> {
+    /// Milliseconds since the start of the process.
+    pub at_ms: u64,
+    /// Lines that were dropped since the one before.
+    pub dropped: u32,
+    /// What happened.
     #[serde(flatten)]
-    event: &'a Event<'a>,
+    pub event: &'a Event<'a>,
 }
 
 /// Writes events to standard output.
--- a/crates/dyketally-gateway/src/lib.rs
+++ b/crates/dyketally-gateway/src/lib.rs
@@ -5,9 +5,9 @@
 //! own to the databases, and takes part in electing the one node that replaces lost primaries. All
 //! tasks of a process run on one thread, so state is shared without locks.
 
-mod counters;
+pub mod counters;
 mod database;
-mod event;
+pub mod event;
 pub mod fleet;
 mod gateway;
 mod measures;
