--- a/crates/dyketally-gateway/tests/wire/links.rs
+++ b/crates/dyketally-gateway/tests/wire/links.rs
@@ -7,11 +7,11 @@
 use dyketally::group::{LogPosition, Term};
 use dyketally::policy::Access;
 use dyketally::statement::{Failure, FailureKind, PreparedStatement, TransactionState};
+use dyketally_gateway::database::batch::{Batch, Flow, Reset, SessionContext, Step};
+use dyketally_gateway::database::claim::{Refusal, Work};
 use dyketally_gateway::database::connection::Answer;
 use dyketally_gateway::fleet::link::{Call, CallReply, frames};
 use dyketally_gateway::ports::{DatabaseUser, OwnStatement};
-use dyketally_gateway::statement::batch::{Batch, Flow, Reset, SessionContext, Step};
-use dyketally_gateway::statement::checkout::{Refusal, Work};
 
 use futures::SinkExt;
 use tokio::io::AsyncReadExt;
