--- a/crates/dyketally-gateway/src/event.rs
+++ b/crates/dyketally-gateway/src/event.rs
@@ -295,9 +295,9 @@
     buffer: RefCell<Vec<u8>>,
 }
 
-impl EventLog {
+impl Default for EventLog {
     /// A log that starts now.
-    pub fn new() -> Self {
+    fn default() -> Self {
         Self {
             started: Instant::now(),
             second: Cell::new(0),
@@ -306,7 +306,9 @@
             buffer: RefCell::default(),
         }
     }
+}
 
+impl EventLog {
     /// Writes an event, or counts it when this second's lines are used up.
     pub fn write(&self, event: &Event<'_>) {
         let elapsed = self.started.elapsed();
--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -154,7 +154,7 @@
             settings,
             caller_protocol,
             database_protocol,
-            events: EventLog::new(),
+            events: EventLog::default(),
             directory: RefCell::default(),
             membership: Membership::default(),
             peers: RefCell::default(),
