--- a/crates/dyketally-gateway/tests/log_events.rs
+++ b/crates/dyketally-gateway/tests/log_events.rs
@@ -10,10 +10,8 @@
 use dyketally::eligibility::Denial;
 use dyketally::identifiers::NodeName;
 use dyketally::statement::FailureKind;
-use dyketally_gateway::counters::{Counter, Counters};
-use dyketally_gateway::event::{Event, Line};
-use dyketally_gateway::store::feed::Form;
-use dyketally_gateway::store::metered_store::StoreCalls;
+use dyketally_gateway::counters::{Counter, Counters, StoreCalls};
+use dyketally_gateway::event::{Event, Form, Line};
 use serde_json::Value;
 
 /// Builds one sample of each event; a variant without one doesn't compile.
