--- a/crates/dyketally-gateway/src/context/mod.rs
+++ b/crates/dyketally-gateway/src/context/mod.rs
@@ -55,7 +55,7 @@
         Rc::new(Self {
             settings,
             clock: Clock::start(),
-            events: EventLog::new(),
+            events: EventLog::default(),
             counters: Counters::new(store_calls),
             measures: Rc::default(),
             configuration,
