--- a/crates/dyketally-gateway/src/context/mod.rs
+++ b/crates/dyketally-gateway/src/context/mod.rs
@@ -8,6 +8,7 @@
 mod configuration;
 pub mod contact;
 mod stop;
+pub mod store_health;
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,6 +20,7 @@
 pub use self::configuration::Configuration;
 use self::contact::NodeContact;
 pub use self::stop::{Stop, StopPhase};
+use self::store_health::StoreHealth;
 use crate::counters::{Counters, StoreCalls};
 use crate::event::EventLog;
 use crate::measures::Measures;
@@ -40,6 +42,8 @@
     pub configuration: Configuration,
     /// How lately the store and most nodes replied to this node.
     pub contact: Rc<NodeContact>,
+    /// Whether the store replies.
+    pub store_health: StoreHealth,
     /// Tells that routes, databases or a primary changed.
     pub changes: Changes,
     /// The phase of the planned stop.
@@ -58,6 +62,7 @@
             measures: Rc::default(),
             configuration,
             contact: Rc::default(),
+            store_health: StoreHealth::default(),
             changes: Changes::default(),
             stop: Stop::default(),
         })
--- a/crates/dyketally-gateway/src/database/mod.rs
+++ b/crates/dyketally-gateway/src/database/mod.rs
@@ -5,6 +5,7 @@
 pub mod batch;
 pub mod claim;
 pub mod connection;
+mod fences;
 pub mod group;
 pub mod health;
 pub mod loading;
--- a/crates/dyketally-gateway/src/fleet/home.rs
+++ b/crates/dyketally-gateway/src/fleet/home.rs
@@ -123,7 +123,7 @@
     };
     let exchange = gateway.exchange(&mut checkout, &target, &call.batch, permission);
     match exchange.await {
-        Ok(_) if call.batch.needs_leader() && gateway.is_fenced(&target.name) => {
+        Ok(_) if call.batch.needs_leader() && gateway.databases.is_fenced(&target.name) => {
             (CallReply::Broken(Broken::replaced().reason), None)
         }
         Ok(answers) => {
--- a/crates/dyketally-gateway/src/fleet/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/mod.rs
@@ -1,11 +1,10 @@
 //! The nodes: who runs, what they tell each other, and whose connections they use.
 
+pub mod coordinator;
 pub mod holders;
 pub mod home;
 pub mod homes;
 pub mod link;
-pub mod liveness;
-pub mod member;
 pub mod membership;
 pub mod message;
 pub mod passed_over;
@@ -16,6 +15,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+use self::coordinator::CoordinatorState;
 use self::homes::Homes;
 use self::link::Links;
 use self::membership::Membership;
@@ -27,8 +27,10 @@
 pub struct Fleet {
     /// What all parts share.
     pub cx: Rc<Context>,
-    /// Nodes and the duty of replacing primaries.
+    /// The nodes that run.
     pub membership: Membership,
+    /// Which of them is the failover coordinator.
+    pub coordinator: CoordinatorState,
     /// The socket that nodes talk over, once it is bound.
     pub peers: RefCell<Option<Rc<Peers>>>,
     /// Where the bytes go that this process sends to other nodes.
@@ -47,6 +49,7 @@
         Rc::new(Self {
             cx,
             membership: Membership::default(),
+            coordinator: CoordinatorState::default(),
             peers: RefCell::default(),
             traffic: Traffic::default(),
             homes: Homes::default(),
--- a/crates/dyketally-gateway/src/fleet/peer.rs
+++ b/crates/dyketally-gateway/src/fleet/peer.rs
@@ -131,11 +131,11 @@
                 group,
                 database,
             } => {
-                self.gateway.fleet.membership.check_store.notify_one();
+                self.gateway.cx.store_health.check.notify_one();
                 let peers = self.clone();
                 tokio::task::spawn_local(async move {
                     let evidence = peers.gateway.evidence(&group, &database).await;
-                    let store_lost = peers.gateway.fleet.membership.store_lost();
+                    let store_lost = peers.gateway.cx.store_health.is_lost();
                     if let Some(evidence) = evidence {
                         let vote = PeerMessage::Vote {
                             poll,
@@ -185,7 +185,9 @@
                 };
                 pass_on(&self.fence_rounds, round, reply);
             }
-            PeerMessage::LiftFence { database, id } => self.gateway.lift_round(&database, id),
+            PeerMessage::LiftFence { database, id } => {
+                self.gateway.databases.lift_round(&database, id)
+            }
             PeerMessage::AreYouThere { round } => {
                 self.asked_by.borrow_mut().insert(from, Instant::now());
                 let gateway = &self.gateway;
@@ -193,7 +195,9 @@
                 self.send(from, &PeerMessage::Here { round, fenced });
             }
             PeerMessage::Here { round, fenced } => {
-                self.gateway.heard_of_fences(fenced, "a sign of life");
+                self.gateway
+                    .databases
+                    .heard_of_fences(fenced, "a sign of life");
                 pass_on(&self.life_rounds, round, from);
             }
             PeerMessage::ContactAsked { round } => {
@@ -207,6 +211,7 @@
                 fenced,
             } => {
                 self.gateway
+                    .databases
                     .heard_of_fences(fenced, "a reply about contact");
                 self.gateway
                     .take_short_contact(round, granted_ms, majority_ms);
@@ -219,10 +224,10 @@
                 }
             }
             PeerMessage::RelaysAsked { zone } => {
-                let relays = self.gateway.relays_for(&zone);
+                let relays = self.gateway.feed.relays_for(&zone);
                 self.send(from, &PeerMessage::Relays { relays });
             }
-            PeerMessage::Relays { relays } => self.gateway.fleet.membership.heard_of_relays(relays),
+            PeerMessage::Relays { relays } => self.gateway.fleet.membership.relays_named(relays),
             PeerMessage::PermitAsked {
                 round,
                 tenant,
@@ -242,13 +247,13 @@
             PeerMessage::ReachReply { round } => pass_on(&self.reach_rounds, round, ()),
             PeerMessage::Ends { node } => self.gateway.fleet.membership.ended(&node),
             PeerMessage::HasDuty { record } => {
-                self.gateway.fleet.membership.heard_of_holder(record)
+                self.gateway.fleet.coordinator.receive_announcement(record)
             }
             PeerMessage::Leads { database, .. } => {
                 let mut directory = self.gateway.databases.directory.borrow_mut();
                 directory.acted_as_primary(&database);
                 drop(directory);
-                self.gateway.lift_fence(&database);
+                self.gateway.databases.lift_fence(&database);
             }
         }
     }
@@ -388,12 +393,12 @@
 impl Gateway {
     /// Takes in that some node suspects a primary.
     pub fn suspected(&self, group: GroupName, database: DatabaseName) {
-        let mut suspicions = self.fleet.membership.suspicions.borrow_mut();
+        let mut suspicions = self.fleet.coordinator.suspicions.borrow_mut();
         suspicions
             .entry((group, database))
             .or_insert_with(Instant::now);
         drop(suspicions);
-        self.fleet.membership.attention.notify_one();
+        self.fleet.coordinator.attention.notify_one();
     }
 
     /// What this node sees of a database; `None` when it doesn't know it.
@@ -447,7 +452,7 @@
     /// Tells the node that replaces primaries, or all nodes if it isn't known, that `target` doesn't
     /// answer.
     pub fn report_suspicion(&self, target: &Target) {
-        if self.fleet.membership.last_duty().is_some() {
+        if self.fleet.coordinator.last_term().is_some() {
             self.suspected(target.group.clone(), target.name.clone());
             return;
         }
@@ -459,7 +464,7 @@
         let Some(peers) = peers.as_ref() else {
             return;
         };
-        match self.fleet.membership.holder() {
+        match self.fleet.coordinator.address() {
             Some(holder) => peers.send(holder, &message),
             // This node may not have heard yet who has the duty.
             None => peers.broadcast(&message),
--- a/crates/dyketally-gateway/src/fleet/relay.rs
+++ b/crates/dyketally-gateway/src/fleet/relay.rs
@@ -92,7 +92,7 @@
         }
         Opening::Feed => {
             drop(relayed);
-            feed::serve(gateway, stream).await;
+            feed::serve(gateway.feed.clone(), stream).await;
             Ok(())
         }
     }
--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -69,12 +69,15 @@
         let cx = Context::new(settings, store_calls);
         let quotas = Quotas::new(cx.settings.bounds.quota_slack);
         let sessions = Sessions::new(cx.settings.node.capacity());
+        let databases = Databases::new(cx.clone(), database_protocol);
+        let fleet = Fleet::new(cx.clone());
+        let feed = Feed::new(fleet.clone(), databases.clone());
         Rc::new(Self {
-            databases: Databases::new(cx.clone(), database_protocol),
-            fleet: Fleet::new(cx.clone()),
+            databases,
+            fleet,
+            feed,
             cx,
             caller_protocol,
-            feed: Rc::default(),
             leadership: Leadership::default(),
             quotas,
             sessions,
@@ -140,7 +143,7 @@
             }
         }
         self.cx.changes.notify();
-        self.fleet.membership.attention.notify_one();
+        self.fleet.coordinator.attention.notify_one();
     }
 
     /// Drops the relays that were found while no region was ruled out.
--- a/crates/dyketally-gateway/src/lib.rs
+++ b/crates/dyketally-gateway/src/lib.rs
@@ -5,7 +5,7 @@
 //! own to the databases, and takes part in electing the one node that replaces lost primaries. All
 //! tasks of a process run on one thread, so state is shared without locks.
 
-mod context;
+pub mod context;
 mod counters;
 pub mod database;
 mod event;
--- a/crates/dyketally-gateway/src/node/exposition.rs
+++ b/crates/dyketally-gateway/src/node/exposition.rs
@@ -56,7 +56,7 @@
             "Nodes that run.",
             self.fleet.membership.node_count(),
         );
-        let has_duty = usize::from(self.fleet.membership.last_duty().is_some());
+        let has_duty = usize::from(self.fleet.coordinator.last_term().is_some());
         set(
             "dyketally_duty",
             "1 while this node replaces primaries.",
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -2,6 +2,7 @@
 
 mod exposition;
 mod metrics;
+mod nodes_handler;
 mod readiness;
 
 use std::collections::HashMap;
@@ -18,11 +19,10 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::Instant;
 
+use self::nodes_handler::NodesHandler;
 use crate::context::StopPhase;
 use crate::event::Event;
-use crate::fleet::liveness::Liveness;
-use crate::fleet::member::Member;
-use crate::fleet::membership::{Keys, NodeRecord};
+use crate::fleet::membership::NodeRecord;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
 use crate::fleet::relay;
@@ -33,11 +33,15 @@
 };
 use crate::session;
 use crate::settings::Settings;
-use crate::store::feed::{Follower, Sink, Subject, ask_seeds};
-use crate::store::follow::{FirstRead, Followed, Gathering, follow};
+use crate::store::feed::{Subject, Subscriber, UpdateHandler, ask_seeds};
+use crate::store::keys::Keys;
+use crate::store::liveness::Liveness;
 use crate::store::metered_store::StoreCalls;
-use crate::store::unconfirmed::tell_unconfirmed;
-use crate::succession::duty::DutyKeeper;
+use crate::store::parts::StoreParts;
+use crate::store::registration::Registration;
+use crate::store::unconfirmed::log_unconfirmed;
+use crate::store::watch::{FirstRead, Gathering, Watched, Watcher};
+use crate::succession::coordinator::CoordinatorKeeper;
 use crate::succession::failover::Failover;
 use crate::succession::fence::FenceKeeper;
 use crate::succession::lead::keep_in_touch;
@@ -109,14 +113,20 @@
     *gateway.fleet.peers.borrow_mut() = Some(peers.clone());
     let prefix = adapters.documents.own_prefix();
     let keys = Rc::new(Keys::new(prefix, own_record(&gateway)));
-    let store = &adapters.store;
-    let member = Member::new(gateway.clone(), store.clone(), keys.clone());
-    let fences = FenceKeeper::new(gateway.clone(), peers.clone(), store.clone(), keys.clone());
-    let liveness = Liveness::new(gateway.clone(), peers.clone(), store.clone(), keys.clone());
-    let duty = DutyKeeper::new(gateway.clone(), store.clone(), keys.clone(), peers.clone());
+    let parts = StoreParts {
+        cx: gateway.cx.clone(),
+        fleet: gateway.fleet.clone(),
+        feed: gateway.feed.clone(),
+        store: adapters.store.clone(),
+        keys,
+    };
+    let registration = Registration::new(parts.clone());
+    let fences = FenceKeeper::new(gateway.clone(), parts.clone(), peers.clone());
+    let liveness = Liveness::new(parts.clone(), peers.clone());
+    let coordinator = CoordinatorKeeper::new(parts.clone(), peers.clone());
     let failover = Failover::new(
         gateway.clone(),
-        duty.clone(),
+        coordinator.clone(),
         peers.clone(),
         adapters.control,
         fences,
@@ -133,21 +143,14 @@
     tokio::task::spawn_local(peers.clone().run());
     tokio::task::spawn_local(keep_in_touch(gateway.clone(), peers.clone()));
     tokio::task::spawn_local(keep_short_contact(gateway.clone(), peers.clone()));
-    tokio::task::spawn_local(ask_seeds(gateway.clone(), peers.clone()));
+    tokio::task::spawn_local(ask_seeds(gateway.feed.clone(), peers.clone()));
     tokio::task::spawn_local(failover.run());
     tokio::task::spawn_local(liveness.run());
-    let joined = tokio::task::spawn_local(member.clone().run());
-    let on_duty = tokio::task::spawn_local(duty.run());
+    let registered = tokio::task::spawn_local(registration.run());
+    let coordinating = tokio::task::spawn_local(coordinator.run());
     tokio::task::spawn_local(tidy(gateway.clone()));
-    tokio::task::spawn_local(tell_unconfirmed(gateway.clone()));
-    let own_key = keys.node();
-    follow_store(
-        &gateway,
-        &adapters.store,
-        &adapters.documents,
-        &member,
-        own_key,
-    );
+    tokio::task::spawn_local(log_unconfirmed(gateway.cx.clone(), gateway.feed.clone()));
+    watch_store(&gateway, &parts, &adapters.documents);
     let accepting = tokio::task::spawn_local(accept(gateway.clone(), callers));
     loop {
         tokio::select! {
@@ -157,7 +160,7 @@
             }),
         }
     }
-    let left = futures::future::join(joined, on_duty);
+    let left = futures::future::join(registered, coordinating);
     stop(&gateway, left, accepting).await;
     peers.broadcast(&PeerMessage::Ends {
         node: gateway.cx.settings.node.name.clone(),
@@ -232,61 +235,53 @@
     }
 }
 
-fn follow_store(
-    gateway: &Rc<Gateway>,
-    store: &Rc<dyn KeyValueStore>,
-    documents: &Rc<dyn StoredDocuments>,
-    member: &Rc<Member>,
-    own_key: Key,
-) {
+/// Starts to watch the store, and to follow relays instead where there are any.
+fn watch_store(gateway: &Rc<Gateway>, parts: &StoreParts, documents: &Rc<dyn StoredDocuments>) {
     let reader = Reader {
         gateway: gateway.clone(),
         documents: documents.clone(),
     };
     let configuration = reader.clone();
-    let configuration: Sink = Rc::new(move |update| configuration.take_configuration(update));
-    let announcements: Sink = Rc::new(move |update| reader.take_announcements(update));
-    let member = member.clone();
-    let nodes: Sink = Rc::new(move |update| member.take_in(update));
-    let start = |prefix, gathering, subject, first, sink: &Sink| {
-        let followed = Followed {
-            prefix,
-            gathering,
-            subject,
-            first,
-        };
-        let following = follow(gateway.clone(), store.clone(), followed, sink.clone());
-        tokio::task::spawn_local(following);
+    let configuration: UpdateHandler =
+        Rc::new(move |update| configuration.take_configuration(update));
+    let announcements: UpdateHandler = Rc::new(move |update| reader.take_announcements(update));
+    let nodes = NodesHandler::new(gateway.clone(), parts.keys.clone());
+    let nodes: UpdateHandler = Rc::new(move |update| nodes.receive(update));
+    let readiness = gateway.clone();
+    let is_ready: Rc<dyn Fn() -> bool> = Rc::new(move || readiness.is_ready());
+    let watch = |watched, handler: &UpdateHandler| {
+        let watcher = Watcher::new(parts.clone(), watched, handler.clone(), is_ready.clone());
+        tokio::task::spawn_local(watcher.run());
     };
-    start(
-        documents.operators_prefix(),
-        Gathering::Bursts,
-        Subject::Configuration,
-        FirstRead::Stale,
-        &configuration,
-    );
-    start(
-        documents.announcements_prefix(),
-        Gathering::PerKey(ANNOUNCEMENTS_GATHERING),
-        Subject::Announcements,
+    let watched = Watched {
+        prefix: documents.operators_prefix(),
+        gathering: Gathering::Bursts,
+        subject: Subject::Configuration,
+        first: FirstRead::Stale,
+    };
+    watch(watched, &configuration);
+    let watched = Watched {
+        prefix: documents.announcements_prefix(),
+        gathering: Gathering::PerKey(ANNOUNCEMENTS_GATHERING),
+        subject: Subject::Announcements,
         // An old list may name a primary that was replaced meanwhile.
-        FirstRead::Newest,
-        &announcements,
-    );
-    start(
-        documents.own_prefix(),
-        Gathering::PerKey(NODES_GATHERING),
-        Subject::Nodes,
-        FirstRead::Stale,
-        &nodes,
-    );
-    let sinks = HashMap::from([
+        first: FirstRead::Newest,
+    };
+    watch(watched, &announcements);
+    let watched = Watched {
+        prefix: documents.own_prefix(),
+        gathering: Gathering::PerKey(NODES_GATHERING),
+        subject: Subject::Nodes,
+        first: FirstRead::Stale,
+    };
+    watch(watched, &nodes);
+    let handlers = HashMap::from([
         (Subject::Configuration, configuration),
         (Subject::Announcements, announcements),
         (Subject::Nodes, nodes),
     ]);
-    let follower = Follower::new(gateway.clone(), sinks, store.clone(), own_key);
-    tokio::task::spawn_local(follower.run());
+    let subscriber = Subscriber::new(parts.clone(), handlers);
+    tokio::task::spawn_local(subscriber.run());
 }
 
 #[derive(Clone)]
--- /dev/null
+++ b/crates/dyketally-gateway/src/node/nodes_handler.rs
@@ -0,0 +1,93 @@
+//! Applies updates of the keys that nodes keep in the store: nodes, the failover coordinator and fences.
+
+use std::rc::Rc;
+
+use dyketally::identifiers::NodeName;
+use dyketally_store::key_value::{Entry, Key, WatchEvent};
+use dyketally_store::update::StoreUpdate;
+
+use crate::fleet::membership::NodeRecord;
+use crate::gateway::Gateway;
+use crate::store::keys::Keys;
+
+/// Applies updates of the nodes' keys.
+pub(super) struct NodesHandler {
+    gateway: Rc<Gateway>,
+    keys: Rc<Keys>,
+}
+
+impl NodesHandler {
+    /// A handler for the node that has `keys`.
+    pub(super) fn new(gateway: Rc<Gateway>, keys: Rc<Keys>) -> Self {
+        Self { gateway, keys }
+    }
+
+    /// Applies an update.
+    pub(super) fn receive(&self, update: StoreUpdate) {
+        self.receive_fences(&update);
+        self.receive_nodes(update);
+        let fleet = &self.gateway.fleet;
+        fleet.membership.nodes_changed.notify_waiters();
+        fleet.coordinator.check_vacancy(self.keys.record());
+        self.gateway.nodes_changed();
+    }
+
+    fn receive_fences(&self, update: &StoreUpdate) {
+        let entries = match update {
+            StoreUpdate::All(entries) => entries.as_slice(),
+            StoreUpdate::Changed(WatchEvent::Put(entry)) => std::slice::from_ref(entry),
+            StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => {
+                if let Some(database) = self.keys.fenced(key) {
+                    self.gateway.databases.lift_fence(&database);
+                }
+                return;
+            }
+        };
+        let fenced = entries.iter().filter_map(|entry| self.keys.fence_of(entry));
+        fenced.for_each(|(database, id)| {
+            let databases = &self.gateway.databases;
+            databases.put_up_fence(database, id, "the store");
+        });
+    }
+
+    fn receive_nodes(&self, update: StoreUpdate) {
+        let fleet = &self.gateway.fleet;
+        match update {
+            StoreUpdate::All(entries) => {
+                fleet.coordinator.forget_record();
+                let nodes = entries.iter().filter_map(|entry| self.receive_entry(entry));
+                fleet.membership.listed(nodes.collect());
+            }
+            StoreUpdate::Changed(WatchEvent::Put(entry)) => {
+                if let Some(node) = self.receive_entry(&entry) {
+                    fleet.membership.joined(node);
+                }
+            }
+            StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => self.receive_deletion(&key),
+        }
+    }
+
+    /// The node whose own key an entry is; records the coordinator if it is that one's.
+    fn receive_entry(&self, entry: &Entry) -> Option<NodeRecord> {
+        if self.keys.fenced(&entry.key).is_some() {
+            return None;
+        }
+        if entry.key == self.keys.coordinator() {
+            self.gateway.fleet.coordinator.learn(entry);
+            return None;
+        }
+        NodeRecord::read(entry)
+    }
+
+    fn receive_deletion(&self, key: &Key) {
+        let fleet = &self.gateway.fleet;
+        if key == &self.keys.coordinator() {
+            fleet.coordinator.record_deleted();
+            return;
+        }
+        let text = key.to_string();
+        if let Some((_, name)) = text.rsplit_once('/') {
+            fleet.membership.left(&NodeName::new(name));
+        }
+    }
+}
--- a/crates/dyketally-gateway/src/statement/eligibility.rs
+++ b/crates/dyketally-gateway/src/statement/eligibility.rs
@@ -54,7 +54,7 @@
         let standing = Standing {
             database: member.name(),
             region: &region,
-            fenced: self.is_fenced(member.name()),
+            fenced: self.databases.is_fenced(member.name()),
             leaving_for,
             evacuated_for,
             has_successor,
@@ -155,7 +155,7 @@
         }
         if any {
             self.cx.changes.notify();
-            self.fleet.membership.attention.notify_one();
+            self.fleet.coordinator.attention.notify_one();
         }
     }
 
--- a/crates/dyketally-gateway/src/store/feed/copy.rs
+++ b/crates/dyketally-gateway/src/store/feed/copy.rs
@@ -7,11 +7,11 @@
 use dyketally_store::key_value::{Entry, Key, StoreRevision, WatchEvent};
 use tokio::time::Instant;
 
-use super::Subject;
 use super::message::{Digest, FeedMessage, Patch};
+use super::subject::Subject;
 
 /// Values from this length on are sent as differences to the version before, in bytes: shorter ones
-/// fit into one packet anyway.
+/// fit into one packet anyway. Not measured.
 const PATCHED_FROM: usize = 1_024;
 
 /// This node's copy of one subject.
@@ -23,7 +23,7 @@
     /// The store's revision up to which this copy lacks nothing.
     pub(super) complete_to: StoreRevision,
     pub(super) watch: OwnWatch,
-    /// True when a read brought something that followers weren't told as a change.
+    /// True when a read brought something that wasn't sent to followers as a change.
     pub(super) differs_from_followers: bool,
     /// All of it as it is sent to followers, until it changes.
     pub(super) encoded: Option<Bytes>,
@@ -51,7 +51,7 @@
         self.revision = self.revision.max(newest.unwrap_or_default());
     }
 
-    /// How followers that have this copy are told of a change that it doesn't have yet: of a long value
+    /// What followers that have this copy are sent of a change that it doesn't have yet: of a long value
     /// only what is new.
     pub(super) fn message(&self, subject: Subject, event: &WatchEvent) -> FeedMessage {
         let patch = match event {
--- a/crates/dyketally-gateway/src/store/feed/message.rs
+++ b/crates/dyketally-gateway/src/store/feed/message.rs
@@ -13,7 +13,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use super::Subject;
+use super::subject::Subject;
 
 pub use crate::context::contact::RelayContact;
 
--- a/crates/dyketally-gateway/src/store/feed/nearer.rs
+++ b/crates/dyketally-gateway/src/store/feed/nearer.rs
@@ -6,25 +6,24 @@
 use futures::StreamExt;
 use rand::Rng;
 
-use super::OUT_OF_TOUCH;
-use super::follow::CONNECT_LIMIT;
 use super::message::{FeedMessage, decode};
+use super::relays::CONNECT_LIMIT;
+use super::{Feed, OUT_OF_TOUCH};
 use crate::fleet::link::frames;
 use crate::fleet::relay::{self, Opening};
-use crate::gateway::Gateway;
 
 /// Pause between two looks for a relay of the own zone, and what is added to it at random: nodes that
-/// lost their relays together don't all ask the next one at once.
+/// lost their relays together don't all ask the next one at once. Not measured.
 const LOOK_INTERVAL: Duration = Duration::from_secs(2);
 const LOOK_SPREAD: Duration = Duration::from_secs(1);
 
 /// Waits until a relay of the own zone is in touch with the store while `followed` is none of those.
 /// A relay is asked before the other one is left: to follow means to be sent a copy of everything.
-pub(super) async fn until_nearer_relay(gateway: &Gateway, followed: SocketAddr) {
+pub(super) async fn until_nearer_relay(feed: &Feed, followed: SocketAddr) {
     loop {
         let spread = LOOK_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0));
         tokio::time::sleep(LOOK_INTERVAL + spread).await;
-        let nearer = gateway.relays_of_own_zone();
+        let nearer = feed.relays_of_own_zone();
         if nearer.contains(&followed) {
             continue;
         }
@@ -33,7 +32,7 @@
             if matches!(asked.await, Ok(Some(true))) {
                 return;
             }
-            gateway.feed.passed_over.add(relay);
+            feed.upstream.passed_over.add(relay);
         }
     }
 }
--- a/crates/dyketally-gateway/src/store/feed/pings.rs
+++ b/crates/dyketally-gateway/src/store/feed/pings.rs
@@ -21,7 +21,7 @@
 }
 
 impl Pings {
-    /// Takes in that the next ping is sent; its number.
+    /// Records that the next ping is sent; its number.
     pub fn send(&mut self, now: Timestamp) -> u64 {
         self.sent += 1;
         if self.under_way.len() >= UNDER_WAY_AT_MOST {
@@ -31,7 +31,7 @@
         self.sent
     }
 
-    /// Takes in the reply to a ping; when that was sent, unless a later one has a reply already.
+    /// Records the reply to a ping; when the ping was sent, unless a later one has a reply already.
     pub fn answered(&mut self, number: u64) -> Option<Timestamp> {
         let position = self.under_way.iter().position(|(it, _)| *it == number)?;
         let (_, sent) = self.under_way.drain(..=position).next_back()?;
@@ -55,7 +55,7 @@
         Self { at, bytes: 0 }
     }
 
-    /// Takes in how much of the next message has arrived; true if that is more than before.
+    /// Records how much of the next message has arrived; true if that is more than before.
     pub fn more_than_before(&mut self, frames: &Frames) -> bool {
         let bytes = frames.read_buffer().len();
         let is_more = bytes > self.bytes;
--- a/crates/dyketally-gateway/src/store/feed/relays.rs
+++ b/crates/dyketally-gateway/src/store/feed/relays.rs
@@ -7,21 +7,22 @@
 use dyketally::identifiers::{NodeName, ZoneName};
 use dyketally::placement;
 
-use super::OUT_OF_TOUCH;
+use super::{Feed, OUT_OF_TOUCH};
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
-use crate::gateway::Gateway;
 
-/// Nodes up to which every node watches the store itself.
+/// Longest time that connecting to a relay may take. Not measured.
+pub(super) const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+/// Nodes up to which every node watches the store itself. Not measured.
 const SMALL_FLEET: usize = 12;
-/// Nodes of a zone that watch the store for the others.
+/// Nodes of a zone that watch the store for the others: one may be lost. Not measured.
 const RELAYS_PER_ZONE: usize = 2;
-/// Relays of other zones that are followed when none of the own zone can be.
+/// Relays of other zones that are followed when none of the own zone can be. Not measured.
 const FURTHER_RELAYS: usize = 2;
-/// Pause between two rounds of asking seeds.
+/// Pause between two rounds of asking seeds. Not measured.
 const SEEDS_PAUSE: Duration = Duration::from_millis(250);
 
-impl Gateway {
+impl Feed {
     /// True while every node watches the store itself.
     pub fn is_small_fleet(&self) -> bool {
         self.fleet.membership.node_count() <= SMALL_FLEET
@@ -43,17 +44,17 @@
         relays.contains(&&self.cx.settings.node.name)
     }
 
-    /// True when there may be relays that this node should follow: it is none itself, or one that has
-    /// lost the store or its news while others may not have. The holder of the duty counts as in touch by its own
-    /// calls alone, so it has its news from the store as well.
+    /// True when there may be relays that this node should follow: it is none itself, or one that has lost
+    /// the store or its own watches while others may not have. The failover coordinator's contact rests on
+    /// its own calls alone, so it has its updates from the store as well.
     pub fn may_follow_relays(&self) -> bool {
-        let holds_duty = self.fleet.membership.last_duty().is_some();
-        // That the store renews a lease doesn't show that its news arrive: a large configuration over a
-        // thin link may not, and the relay would act by an old one.
-        let hears =
-            !self.cx.has_lost_store_for(OUT_OF_TOUCH) && !self.feed.lacks_news_for(OUT_OF_TOUCH);
-        let watches = self.is_relay_of_zone() && hears;
-        !holds_duty && !self.is_small_fleet() && !watches
+        let is_coordinator = self.fleet.coordinator.last_term().is_some();
+        // That the store renews a lease doesn't show that updates arrive: a large configuration over a thin
+        // link may not, and the relay would act by an old one.
+        let is_current =
+            !self.cx.has_lost_store_for(OUT_OF_TOUCH) && !self.is_stale_for(OUT_OF_TOUCH);
+        let watches = self.is_relay_of_zone() && is_current;
+        !is_coordinator && !self.is_small_fleet() && !watches
     }
 
     /// True for a relay that the store replies to. If it follows another one since its own watch was lost,
@@ -76,12 +77,12 @@
     }
 
     /// The relays that this node may follow, in the order of preference: those of its zone, then
-    /// some of others. None in a small fleet, and for a relay. While the store hasn't told which nodes
-    /// run, those that seeds named.
+    /// some of others. None in a small fleet, and for a relay. While it isn't known which nodes run,
+    /// those that seeds named.
     pub(super) fn relays_to_follow(&self) -> Vec<SocketAddr> {
         let own = self.cx.settings.listen.peers;
         let usable =
-            |address: &SocketAddr| *address != own && !self.feed.passed_over.contains(address);
+            |address: &SocketAddr| *address != own && !self.upstream.passed_over.contains(address);
         match self.fleet.membership.is_known() {
             false => {
                 let named = self.fleet.membership.named_relays().into_iter();
@@ -114,7 +115,7 @@
     /// The relays that a node of `zone` may follow. In a small fleet any node's copy will do.
     pub fn relays_for(&self, zone: &ZoneName) -> Vec<SocketAddr> {
         match self.is_small_fleet() {
-            true if self.feed.is_relaying() => vec![self.cx.settings.listen.peers],
+            true if self.is_publishing() => vec![self.cx.settings.listen.peers],
             true => Vec::new(),
             false => self.ranked_relays(zone, |_| true),
         }
@@ -152,15 +153,15 @@
     }
 }
 
-/// Asks seeds whom to follow until this node follows somebody, or the store tells which nodes run.
-pub async fn ask_seeds(gateway: Rc<Gateway>, peers: Rc<Peers>) {
+/// Asks seeds which relays there are until this node follows one, or the store tells which nodes run.
+pub async fn ask_seeds(feed: Rc<Feed>, peers: Rc<Peers>) {
     let message = PeerMessage::RelaysAsked {
-        zone: gateway.cx.settings.node.zone.clone(),
+        zone: feed.cx.settings.node.zone.clone(),
     };
-    let seeds = gateway.cx.settings.seeds();
+    let seeds = feed.cx.settings.seeds();
     // The store mostly answers sooner.
     tokio::time::sleep(SEEDS_PAUSE).await;
-    while !gateway.fleet.membership.is_known() && !gateway.feed.is_fed() {
+    while !feed.fleet.membership.is_known() && !feed.has_relay() {
         for seed in &seeds {
             peers.send(*seed, &message);
         }
--- a/crates/dyketally-gateway/src/store/feed/news.rs
+++ b/crates/dyketally-gateway/src/store/feed/updates.rs
@@ -1,17 +1,20 @@
-//! Where news of the store come from and whom they are passed on to, as the log tells it for each
-//! version of what operators write.
+//! Updates that this node receives and sends on: from whom, how much at a time, and what the log tells of
+//! each version of what operators write.
 
 use std::fmt;
 use std::net::SocketAddr;
+use std::rc::Rc;
 
 use dyketally_store::key_value::{Entry, StoreRevision, WatchEvent};
 
-use super::Subject;
+use super::{Feed, Subject};
 use crate::event::{Event, Form};
-use crate::gateway::Gateway;
 use dyketally_store::update::StoreUpdate;
 
-/// Who told this node.
+/// Applies the updates of a subject to the rest of the process.
+pub type UpdateHandler = Rc<dyn Fn(StoreUpdate)>;
+
+/// From whom an update came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The store itself.
@@ -31,15 +34,15 @@
 
 /// A message that was handed to the connections of all followers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PassedOn {
+pub(super) struct PassedOn {
     pub(super) form: Form,
     pub(super) bytes: usize,
     pub(super) followers: usize,
 }
 
-impl Gateway {
-    /// Takes in news of a subject, and passes them on to the nodes that follow this one.
-    pub(crate) fn take_news(
+impl Feed {
+    /// Applies an update to this node's copy, and sends it on to the nodes that follow this one.
+    pub fn receive_update(
         &self,
         subject: Subject,
         update: &StoreUpdate,
@@ -47,29 +50,29 @@
         form: Form,
     ) {
         if subject == Subject::Configuration {
-            self.tell_received(update, source, form);
+            self.log_received(update, source, form);
         }
-        if let Some(passed_on) = self.feed.take(subject, update) {
-            self.tell_passed_on(subject, update.newest(), passed_on);
+        if let Some(passed_on) = self.copies.apply(subject, update) {
+            self.log_passed_on(subject, update.newest(), passed_on);
         }
     }
 
-    /// Takes in that this node read a subject from the store at `revision` and watches it.
-    pub(crate) fn watch_stands(&self, subject: Subject, revision: StoreRevision) {
-        if let Some(passed_on) = self.feed.watched(subject, revision) {
-            self.tell_passed_on(subject, revision, passed_on);
+    /// Records that this node read a subject from the store at `revision` and watches it.
+    pub fn watch_established(&self, subject: Subject, revision: StoreRevision) {
+        if let Some(passed_on) = self.copies.watch_established(subject, revision) {
+            self.log_passed_on(subject, revision, passed_on);
         }
     }
 
-    /// Tells of the documents in `update` that are newer than this node's.
-    fn tell_received(&self, update: &StoreUpdate, source: Source, form: Form) {
+    /// Logs the documents in `update` that are newer than this node's.
+    fn log_received(&self, update: &StoreUpdate, source: Source, form: Form) {
         let entries: &[Entry] = match update {
             StoreUpdate::All(entries) => entries,
             StoreUpdate::Changed(WatchEvent::Put(entry)) => std::slice::from_ref(entry),
             StoreUpdate::Changed(WatchEvent::Deleted { .. }) => &[],
         };
         for entry in entries {
-            let known = self.feed.modified(Subject::Configuration, &entry.key);
+            let known = self.modified(Subject::Configuration, &entry.key);
             if known.is_none_or(|known| known < entry.modified) {
                 self.cx.events.write(&Event::ConfigurationReceived {
                     key: entry.key.to_string(),
@@ -82,7 +85,7 @@
         }
     }
 
-    fn tell_passed_on(&self, subject: Subject, stored: StoreRevision, passed_on: PassedOn) {
+    fn log_passed_on(&self, subject: Subject, stored: StoreRevision, passed_on: PassedOn) {
         if subject == Subject::Configuration {
             self.cx.events.write(&Event::ConfigurationPassedOn {
                 stored: stored.0,
--- a/crates/dyketally-gateway/src/fleet/liveness.rs
+++ b/crates/dyketally-gateway/src/store/liveness.rs
@@ -1,5 +1,5 @@
 //! Finds nodes whose process is gone, and removes their keys from the store, long before their
-//! leases lapse: leases are long, since each renewal is priced.
+//! leases lapse: leases are long, since each renewal is a call to the store.
 //!
 //! In each zone the first relay watches over the other nodes, and the second one over the first. A
 //! node that is alone in its zone is watched over by one of another zone. If both relays of a zone
@@ -14,49 +14,38 @@
 use dyketally::failover::is_majority;
 use dyketally::identifiers::{NodeName, ZoneName};
 use dyketally::placement;
-use dyketally_store::key_value::{
-    Condition, KeyRange, KeyValueStore, Operation, TransactionRequest,
-};
+use dyketally_store::key_value::{Condition, KeyRange, Operation, TransactionRequest};
 use tokio::time::Instant;
 
+use super::feed::Subject;
+use super::parts::StoreParts;
 use crate::event::Event;
-use crate::fleet::membership::{Keys, NodeRecord};
+use crate::fleet::membership::NodeRecord;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
-use crate::gateway::Gateway;
-use crate::store::feed::Subject;
 
-/// Pause between two heartbeats that a node is asked for.
+/// Pause between two heartbeats that a node is asked for. Not measured.
 const HEARTBEAT: Duration = Duration::from_secs(1);
-/// Silence after which a node is taken for gone; until then those who fail to reach it pass it
-/// over.
+/// Silence after which a node is taken for gone; until then nodes that fail to reach it pass it over. Not
+/// measured.
 const GONE_AFTER: Duration = Duration::from_secs(6);
-/// Silence up to which a node counts as heard.
+/// Silence up to which a node counts as reached. Not measured.
 const HEARD_WITHIN: Duration = Duration::from_millis(2_500);
 
 /// Watches over nodes while this one is a relay.
 pub struct Liveness {
-    gateway: Rc<Gateway>,
+    parts: StoreParts,
     peers: Rc<Peers>,
-    store: Rc<dyn KeyValueStore>,
-    keys: Rc<Keys>,
-    /// When each node was heard last, or asked first.
+    /// When each node replied last, or was asked first.
     heard: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
 impl Liveness {
     /// One that isn't running yet.
-    pub fn new(
-        gateway: Rc<Gateway>,
-        peers: Rc<Peers>,
-        store: Rc<dyn KeyValueStore>,
-        keys: Rc<Keys>,
-    ) -> Self {
+    pub fn new(parts: StoreParts, peers: Rc<Peers>) -> Self {
         Self {
-            gateway,
+            parts,
             peers,
-            store,
-            keys,
             heard: RefCell::default(),
         }
     }
@@ -74,7 +63,7 @@
                 }
                 () = tokio::time::sleep_until(next) => {
                     next = Instant::now() + HEARTBEAT;
-                    if self.gateway.cx.stop.is_stopping() {
+                    if self.parts.cx.stop.is_stopping() {
                         return;
                     }
                     self.look().await;
@@ -84,10 +73,10 @@
     }
 
     async fn look(&self) {
-        let watched = self.gateway.watched_over();
+        let watched = self.watched_over();
         self.ask(&watched);
         // Without the store nothing can be removed, and cut off from most this node may be wrong.
-        if self.gateway.fleet.membership.store_is_failing() || !self.hears_most(&watched) {
+        if self.parts.cx.store_health.is_failing() || !self.hears_most(&watched) {
             return;
         }
         for node in watched {
@@ -122,8 +111,8 @@
     }
 
     async fn remove(&self, node: &NodeRecord) {
-        let key = self.keys.of_node(&node.node);
-        let Some(modified) = self.gateway.feed.modified(Subject::Nodes, &key) else {
+        let key = self.parts.keys.of_node(&node.node);
+        let Some(modified) = self.parts.feed.modified(Subject::Nodes, &key) else {
             return;
         };
         // Its next process may have put the key anew.
@@ -135,21 +124,19 @@
             then: vec![Operation::Delete(KeyRange::key(key))],
             ..TransactionRequest::default()
         };
-        let removed = self.store.transact(request).await;
+        let removed = self.parts.store.transact(request).await;
         self.heard.borrow_mut().insert(node.address, Instant::now());
-        self.gateway.cx.events.write(&Event::NodeGone {
+        self.parts.cx.events.write(&Event::NodeGone {
             node: node.node.as_str(),
             removed: removed.is_ok_and(|reply| reply.succeeded),
         });
     }
-}
 
-impl Gateway {
     /// The nodes that this one watches over.
     fn watched_over(&self) -> Vec<NodeRecord> {
-        let nodes = self.fleet.membership.nodes();
-        let own = &self.cx.settings.node.name;
-        let own_zone = self.cx.settings.own_locality();
+        let nodes = self.parts.fleet.membership.nodes();
+        let own = &self.parts.cx.settings.node.name;
+        let own_zone = self.parts.cx.settings.own_locality();
         let mut zones: BTreeMap<&ZoneName, Vec<&NodeRecord>> = BTreeMap::new();
         for node in nodes.values() {
             zones.entry(&node.locality.zone).or_default().push(node);
--- a/crates/dyketally-gateway/src/succession/appointment.rs
+++ b/crates/dyketally-gateway/src/succession/appointment.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use crate::database::target::Target;
-use crate::fleet::membership::Duty;
+use crate::fleet::coordinator::Term;
 use crate::fleet::message::PeerMessage;
 use crate::ports::Appointment;
 use crate::succession::confirm::Confirmation;
@@ -41,7 +41,7 @@
     ) -> Appointed {
         let mut otherwise = Appointed::Never;
         for _ in 0..APPOINTMENTS_AT_MOST {
-            let Some(duty) = self.token_for(group, successor).await else {
+            let Some(term) = self.token_for(group, successor).await else {
                 self.step(
                     group,
                     "no token",
@@ -50,9 +50,9 @@
                 return otherwise;
             };
             let holder = self.gateway.cx.settings.node.name.as_str();
-            let appointed = self.control.appoint(group, successor, holder, duty.token);
+            let appointed = self.control.appoint(group, successor, holder, term.token);
             let appointment = appointed.await;
-            let detail = format!("{successor} with token {}: {appointment:?}", duty.token);
+            let detail = format!("{successor} with token {}: {appointment:?}", term.token);
             self.step(group, "appoint", detail);
             match appointment {
                 Appointment::Accepted => {
@@ -63,7 +63,7 @@
                 }
                 Appointment::Unknown => otherwise = Appointed::Perhaps,
                 Appointment::Refused => {
-                    self.appointments.borrow_mut().refused(duty.token);
+                    self.appointments.borrow_mut().refused(term.token);
                     return otherwise;
                 }
                 Appointment::Later => return otherwise,
@@ -77,21 +77,21 @@
         &self,
         group: &GroupName,
         successor: &DatabaseName,
-    ) -> Option<Duty> {
-        let membership = &self.gateway.fleet.membership;
-        let held = membership.last_duty()?;
+    ) -> Option<Term> {
+        let coordinator = &self.gateway.fleet.coordinator;
+        let held = coordinator.last_term()?;
         let token_use = self
             .appointments
             .borrow()
             .token_use(group, successor, held.token);
-        let unchallenged = membership.duty().is_some() || membership.store_lost();
-        let duty = match (token_use, unchallenged) {
+        let unchallenged = coordinator.term().is_some() || self.gateway.cx.store_health.is_lost();
+        let term = match (token_use, unchallenged) {
             (TokenUse::Use, true) => held,
-            _ => self.duty.renew_token(held.token).await?,
+            _ => self.coordinator.renew_token(held.token).await?,
         };
         let mut appointments = self.appointments.borrow_mut();
-        appointments.appointing(group, successor, duty.token);
-        Some(duty)
+        appointments.appointing(group, successor, term.token);
+        Some(term)
     }
 
     async fn wait_for_lead(self: &Rc<Self>, group: &GroupName, successor: &DatabaseName) -> bool {
--- a/crates/dyketally-gateway/src/succession/confirm.rs
+++ b/crates/dyketally-gateway/src/succession/confirm.rs
@@ -164,7 +164,7 @@
             .directory
             .borrow_mut()
             .acted_as_primary(&target.name);
-        self.lift_fence(&target.name);
+        self.databases.lift_fence(&target.name);
     }
 
     /// Takes in that a database refused to act as primary.
@@ -174,7 +174,7 @@
             .borrow_mut()
             .refused_as_primary(&target.name);
         self.cx.changes.notify();
-        self.fleet.membership.attention.notify_one();
+        self.fleet.coordinator.attention.notify_one();
     }
 
     /// Has a database carry out one of the gateway's statements that answer with its status.
--- a/crates/dyketally-gateway/src/succession/failover.rs
+++ b/crates/dyketally-gateway/src/succession/failover.rs
@@ -16,7 +16,7 @@
 use crate::fleet::peer::{Peers, Vote};
 use crate::gateway::Gateway;
 use crate::ports::PrimaryControl;
-use crate::succession::duty::DutyKeeper;
+use crate::succession::coordinator::CoordinatorKeeper;
 use crate::succession::fence::FenceKeeper;
 use crate::succession::probe::PROBE_LIMIT;
 
@@ -39,7 +39,7 @@
 /// Replaces primaries while this node has the duty.
 pub struct Failover {
     pub(super) gateway: Rc<Gateway>,
-    pub(super) duty: Rc<DutyKeeper>,
+    pub(super) coordinator: Rc<CoordinatorKeeper>,
     pub(super) peers: Rc<Peers>,
     pub(super) control: Rc<dyn PrimaryControl>,
     pub(super) fences: FenceKeeper,
@@ -90,7 +90,7 @@
     /// A replacer that isn't running yet.
     pub fn new(
         gateway: Rc<Gateway>,
-        duty: Rc<DutyKeeper>,
+        coordinator: Rc<CoordinatorKeeper>,
         peers: Rc<Peers>,
         control: Rc<dyn PrimaryControl>,
         fences: FenceKeeper,
@@ -98,7 +98,7 @@
         Rc::new(Self {
             fences,
             gateway,
-            duty,
+            coordinator,
             peers,
             control,
             busy: RefCell::default(),
@@ -111,15 +111,15 @@
     /// Looks after all groups whenever there is reason to, forever.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let attention = self.gateway.fleet.membership.attention.notified();
-            match self.gateway.fleet.membership.last_duty() {
+            let attention = self.gateway.fleet.coordinator.attention.notified();
+            match self.gateway.fleet.coordinator.last_term() {
                 Some(_) => {
                     // Either way it is time to look.
                     let _ = tokio::time::timeout(LOOK_INTERVAL, attention).await;
                 }
                 None => attention.await,
             }
-            if self.gateway.fleet.membership.last_duty().is_some() {
+            if self.gateway.fleet.coordinator.last_term().is_some() {
                 self.look_at_all();
             }
         }
@@ -146,7 +146,7 @@
         self.step(group, "start", format!("{cause:?}"));
         if !self.replace(group, &cause).await {
             tokio::time::sleep(RETRY_PAUSE).await;
-            self.gateway.fleet.membership.attention.notify_one();
+            self.gateway.fleet.coordinator.attention.notify_one();
         }
     }
 
@@ -159,7 +159,7 @@
     }
 
     async fn cause(self: &Rc<Self>, group: &GroupName) -> Option<Cause> {
-        let holds = self.gateway.fleet.membership.duty().is_some();
+        let holds = self.gateway.fleet.coordinator.term().is_some();
         let Some((primary, state)) = self.known_primary(group) else {
             return match holds {
                 true => self.leaderless(group).await,
@@ -238,7 +238,7 @@
     }
 
     fn suspicions(&self) -> &RefCell<HashMap<(GroupName, DatabaseName), Instant>> {
-        &self.gateway.fleet.membership.suspicions
+        &self.gateway.fleet.coordinator.suspicions
     }
 
     fn known_primary(&self, group: &GroupName) -> Option<(Target, MemberState)> {
@@ -274,12 +274,11 @@
         let own = self.gateway.evidence_of(primary);
         tokio::pin!(own);
         let mut own_known = false;
-        let membership = &self.gateway.fleet.membership;
         loop {
             let vote: Option<Vote> = tokio::select! {
                 evidence = &mut own, if !own_known => {
                     own_known = true;
-                    let store_lost = membership.store_lost();
+                    let store_lost = self.gateway.cx.store_health.is_lost();
                     let from = self.gateway.cx.settings.listen.peers;
                     Some(Vote { evidence, store_lost, from })
                 }
@@ -293,7 +292,7 @@
                 }
                 None => result.complete = true,
             }
-            result.lease_runs = membership.duty().is_some();
+            result.lease_runs = self.gateway.fleet.coordinator.term().is_some();
             let verdict = judge(&result);
             if verdict != Verdict::Undecided || result.complete {
                 self.gateway.cx.events.write(&Event::PrimaryPolled {
--- a/crates/dyketally-gateway/src/succession/fence.rs
+++ b/crates/dyketally-gateway/src/succession/fence.rs
@@ -7,18 +7,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dyketally::failover::{FENCE_HOLDS, FenceId, FenceRound, FenceVerdict, StandingFence};
+use dyketally::failover::{FENCE_HOLDS, FenceId, FenceRound, FenceVerdict};
 use dyketally::identifiers::{DatabaseName, GroupName};
 use dyketally::time::Timestamp;
-use dyketally_store::key_value::{KeyRange, KeyValueStore, Operation, TransactionRequest};
+use dyketally_store::key_value::{KeyRange, Operation, TransactionRequest};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
 use crate::event::Event;
-use crate::fleet::membership::Keys;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::{FenceReply, Peers, Replies};
 use crate::gateway::Gateway;
+use crate::store::keys::Keys;
+use crate::store::parts::StoreParts;
 
 /// Pause before nodes that didn't confirm are asked again.
 const ASK_AGAIN: Duration = Duration::from_millis(150);
@@ -40,79 +41,7 @@
     /// suspected `suspected` ago, so that it shouldn't be replaced, or the round is over.
     pub fn fence(&self, database: &DatabaseName, id: FenceId, suspected: Duration) -> bool {
         !self.has_answered_within(database, suspected)
-            && self.put_up_fence(database.clone(), id, "a node")
-    }
-
-    /// Stops taking `database` for a leader, as `source` told; false when the round is over.
-    pub fn put_up_fence(&self, database: DatabaseName, id: FenceId, source: &str) -> bool {
-        let stood = self.is_fenced(&database);
-        let now = self.cx.now();
-        let stands = self
-            .databases
-            .fences
-            .borrow_mut()
-            .put_up(now, database.clone(), id);
-        if stands && !stood {
-            self.cx.events.write(&Event::FencePutUp {
-                database: database.as_str(),
-                source,
-            });
-        }
-        self.cx.changes.notify();
-        stands
-    }
-
-    /// True while `database` mustn't be taken for a leader.
-    pub fn is_fenced(&self, database: &DatabaseName) -> bool {
-        self.databases
-            .fences
-            .borrow()
-            .holds(self.cx.now(), database)
-    }
-
-    /// Takes in that `source` has had fences for some time.
-    pub fn heard_of_fences(&self, fenced: impl IntoIterator<Item = StandingFence>, source: &str) {
-        let now = self.cx.now();
-        for fence in fenced {
-            let database = fence.database.clone();
-            let stood = self.is_fenced(&database);
-            self.databases.fences.borrow_mut().heard(now, fence);
-            if !stood && self.is_fenced(&database) {
-                self.cx.events.write(&Event::FencePutUp {
-                    database: database.as_str(),
-                    source,
-                });
-            }
-        }
-    }
-
-    /// Takes `database` for a leader again.
-    pub fn lift_fence(&self, database: &DatabaseName) {
-        if self.is_fenced(database) {
-            self.cx.events.write(&Event::FenceLifted {
-                database: database.as_str(),
-            });
-        }
-        self.databases
-            .fences
-            .borrow_mut()
-            .lift(self.cx.now(), database);
-        self.cx.changes.notify();
-    }
-
-    /// Takes in that the round of a fence is over and `database` isn't replaced by it.
-    pub fn lift_round(&self, database: &DatabaseName, id: FenceId) {
-        let stood = self.is_fenced(database);
-        self.databases
-            .fences
-            .borrow_mut()
-            .lift_round(self.cx.now(), database, id);
-        if stood && !self.is_fenced(database) {
-            self.cx.events.write(&Event::FenceLifted {
-                database: database.as_str(),
-            });
-        }
-        self.cx.changes.notify();
+            && self.databases.put_up_fence(database.clone(), id, "a node")
     }
 
     fn has_answered_within(&self, database: &DatabaseName, age: Duration) -> bool {
@@ -128,9 +57,8 @@
 /// Puts up fences on all nodes.
 pub struct FenceKeeper {
     gateway: Rc<Gateway>,
+    parts: StoreParts,
     peers: Rc<Peers>,
-    store: Rc<dyn KeyValueStore>,
-    keys: Rc<Keys>,
     /// The last round around each database.
     rounds: RefCell<HashMap<DatabaseName, FenceId>>,
     published: RefCell<HashMap<DatabaseName, Rc<Published>>>,
@@ -147,17 +75,11 @@
 
 impl FenceKeeper {
     /// A keeper for the node of `gateway`.
-    pub fn new(
-        gateway: Rc<Gateway>,
-        peers: Rc<Peers>,
-        store: Rc<dyn KeyValueStore>,
-        keys: Rc<Keys>,
-    ) -> Self {
+    pub fn new(gateway: Rc<Gateway>, parts: StoreParts, peers: Rc<Peers>) -> Self {
         Self {
             gateway,
+            parts,
             peers,
-            store,
-            keys,
             rounds: RefCell::default(),
             published: RefCell::default(),
         }
@@ -191,7 +113,7 @@
         let Some(id) = self.rounds.borrow_mut().remove(database) else {
             return;
         };
-        self.gateway.lift_round(database, id);
+        self.gateway.databases.lift_round(database, id);
         let message = PeerMessage::LiftFence {
             database: database.clone(),
             id,
@@ -232,10 +154,10 @@
             {
                 round.published(at);
             }
-            if gateway.fleet.membership.duty().is_none() {
+            if gateway.fleet.coordinator.term().is_none() {
                 round.lease_broken();
             }
-            let former_holder = gateway.fleet.membership.former_holder();
+            let former_holder = gateway.fleet.coordinator.former();
             let lapsed = former_holder
                 .is_some_and(|holder| silent.contains(&holder) && !heard.contains(&holder));
             round.lapsed(usize::from(lapsed));
@@ -273,14 +195,14 @@
     /// isn't lifted.
     fn publish(&self, database: &DatabaseName, id: FenceId) -> Rc<Published> {
         let published = Rc::new(Published::default());
-        let Some(lease) = self.gateway.fleet.membership.duty_lease() else {
+        let Some(lease) = self.gateway.fleet.coordinator.lease() else {
             return published;
         };
         let mut all = self.published.borrow_mut();
         all.insert(database.clone(), published.clone());
-        let key = self.keys.fence(database);
+        let key = self.parts.keys.fence(database);
         let put = Keys::put_fence(key.clone(), id, lease.id);
-        let store = self.store.clone();
+        let store = self.parts.store.clone();
         let gateway = self.gateway.clone();
         let fence = published.clone();
         tokio::task::spawn_local(async move {
--- a/crates/dyketally-gateway/src/succession/lead.rs
+++ b/crates/dyketally-gateway/src/succession/lead.rs
@@ -11,12 +11,9 @@
 use dyketally::failover::is_majority;
 use dyketally::identifiers::GroupName;
 use dyketally::time::Timestamp;
-use dyketally_store::StoreError;
-use dyketally_store::key_value::{KeyValueStore, LeaseId};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::context::contact::RelayContact;
 use crate::database::target::Target;
 use crate::event::Event;
 use crate::fleet::message::PeerMessage;
@@ -31,16 +28,9 @@
 const UNCLEAR_HOLDS: Duration = Duration::from_millis(700);
 /// How long replies of other nodes are waited for.
 const REPLIES_LIMIT: Duration = Duration::from_millis(300);
-/// By so much the contact of a renewal of the duty's lease ends sooner than that of another one:
-/// before the lease does.
-const DUTY_CONTACT_SHORTER: Duration = Duration::from_millis(600);
 /// Pause before the contact is looked at again when there is nothing to ask.
 const REST: Duration = Duration::from_millis(300);
 
-/// Age of a relay's contact with the store from which on the store counts as failing for its
-/// followers as well; a relay renews its lease each 0.7 s.
-const RELAY_LOST_STORE: Duration = Duration::from_millis(1_800);
-
 /// What an isolated node found when it asked the other databases of a group.
 #[derive(Clone, Copy, Debug)]
 struct Vetting {
@@ -59,94 +49,16 @@
 }
 
 impl Gateway {
-    /// Renews this node's own lease at `store`, and takes in what that tells of the store. While the
-    /// node holds the duty only [`Gateway::renew_duty`] counts as contact, and while it doesn't watch
-    /// the store itself only what its relay tells: its news come from there.
-    ///
-    /// # Errors
-    /// The lease has lapsed, or the store didn't answer.
-    pub async fn renew_lease(
-        &self,
-        store: &dyn KeyValueStore,
-        lease: LeaseId,
-    ) -> Result<Duration, StoreError> {
-        let asked = self.cx.now();
-        let renewed = self.fleet.membership.renew(store, lease).await;
-        if renewed.is_ok() {
-            self.cx.contact.store_replied_to_this_node(asked);
-        }
-        let counts = self.fleet.membership.last_duty().is_none() && self.feed.is_current();
-        if renewed.is_ok() && counts {
-            self.cx.contact.store_replied(asked);
-        }
-        renewed
-    }
-
-    /// Renews the duty's lease at `store`. The contact that follows ends before the lease can lapse,
-    /// so that whoever takes the duty next knows that its former holder is out of touch.
-    ///
-    /// # Errors
-    /// The lease has lapsed, or the store didn't answer.
-    pub async fn renew_duty(
-        &self,
-        store: &dyn KeyValueStore,
-        lease: LeaseId,
-    ) -> Result<Duration, StoreError> {
-        let asked = self.cx.now();
-        let renewed = self.fleet.membership.renew(store, lease).await;
-        if renewed.is_ok() {
-            self.cx.contact.store_replied_to_this_node(asked);
-            self.cx.contact.store_replied(asked - DUTY_CONTACT_SHORTER);
-        }
-        renewed
-    }
-
-    /// How lately this node was in touch, for the nodes that follow it. A node that catches up may
-    /// lack news, so for them it is in touch with nobody.
-    pub fn relay_contact(&self) -> RelayContact {
-        let now = self.cx.now();
-        let contact = self.cx.contact.borrow_mut();
-        let is_held = contact.is_long_held(now);
-        let fences = self.databases.fences.borrow().standing(now);
-        RelayContact {
-            store: contact.store_age(now).filter(|_| is_held),
-            majority: contact.majority_age(now).filter(|_| is_held),
-            fenced: fences,
-        }
-    }
-
-    /// Takes in how lately a relay that was asked at `asked` had been in touch: what reached it since
-    /// has reached this node, too. While this node holds the duty only its own calls count.
-    pub fn take_relay_contact(&self, asked: Timestamp, relayed: RelayContact) {
-        self.heard_of_fences(relayed.fenced, "a relay");
-        let holds_duty = self.fleet.membership.last_duty().is_some();
-        match relayed.store {
-            Some(age) if age < RELAY_LOST_STORE => self.fleet.membership.store_answered(),
-            Some(_) | None => self.fleet.membership.store_failed(),
-        }
-        if holds_duty {
-            return;
-        }
-        if let Some(age) = relayed.store
-            && !self.cx.stop.is_stopping()
-        {
-            self.cx.contact.store_replied(asked - age);
-        }
-        if let Some(age) = relayed.majority {
-            self.cx.contact.borrow_mut().majority_replied(asked - age);
-        }
-    }
-
     /// True when `target` must not be taken for a leader, whatever it says: it is being replaced,
     /// or another database is known to lead.
     fn is_replaced(&self, target: &Target) -> bool {
-        if self.is_fenced(&target.name) {
+        if self.databases.is_fenced(&target.name) {
             return true;
         }
         let directory = self.databases.directory.borrow();
         let primary = directory.primary(&target.group);
         primary.is_some_and(|primary| {
-            primary.name() != &target.name && !self.is_fenced(primary.name())
+            primary.name() != &target.name && !self.databases.is_fenced(primary.name())
         })
     }
 
@@ -167,7 +79,7 @@
     /// True when no other database of the group can have taken the lead by now: this node would
     /// have heard of it, or all others deny it.
     pub async fn is_unrivalled(self: &Rc<Self>, target: &Target) -> bool {
-        if self.is_fenced(&target.name) {
+        if self.databases.is_fenced(&target.name) {
             return false;
         }
         self.cx.is_in_touch() || self.others_deny_leading(target).await
@@ -253,7 +165,7 @@
         }
         let due = gateway.cx.contact.borrow_mut().ask_nodes_at(last_asked);
         let relies_on_relay =
-            gateway.feed.is_fed() && gateway.fleet.membership.last_duty().is_none();
+            gateway.feed.has_relay() && gateway.fleet.coordinator.last_term().is_none();
         let due = due.filter(|_| !relies_on_relay);
         let now = gateway.cx.now();
         match due {
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -2,7 +2,7 @@
 
 mod appointment;
 pub mod confirm;
-pub mod duty;
+pub mod coordinator;
 pub mod failover;
 pub mod fence;
 pub mod lead;
--- a/crates/dyketally-gateway/src/succession/short_contact.rs
+++ b/crates/dyketally-gateway/src/succession/short_contact.rs
@@ -56,7 +56,7 @@
     pub fn tell_short_contact(&self, round: u64) -> PeerMessage {
         let now = self.cx.now();
         let contact = self.cx.contact.borrow_mut();
-        let granted = match self.fleet.membership.grants_contact() {
+        let granted = match self.fleet.coordinator.may_grant() {
             true => Some(Duration::ZERO),
             false => contact.granted_age(now),
         };
@@ -87,7 +87,7 @@
         }
         // While this node holds the duty only its own calls count.
         if let Some(age) = majority_ms
-            && self.fleet.membership.last_duty().is_none()
+            && self.fleet.coordinator.last_term().is_none()
         {
             contact.majority_replied(asked - Duration::from_millis(age.into()));
         }
@@ -99,7 +99,7 @@
     fn short_contact_sources(&self) -> impl Iterator<Item = SocketAddr> {
         let relay = self.feed.relay();
         let is_late = self.cx.contact.borrow_mut().is_grant_late(self.cx.now());
-        let holder = self.fleet.membership.holder();
+        let holder = self.fleet.coordinator.address();
         let holder = holder.filter(|_| relay.is_none() || is_late);
         let neighbour = is_late.then(|| self.some_neighbour()).flatten();
         relay.into_iter().chain(holder).chain(neighbour)
@@ -125,7 +125,7 @@
 pub async fn keep_short_contact(gateway: Rc<Gateway>, peers: Rc<Peers>) {
     loop {
         let now = gateway.cx.now();
-        if gateway.fleet.membership.grants_contact() {
+        if gateway.fleet.coordinator.may_grant() {
             gateway.cx.contact.borrow_mut().granted(now);
         } else {
             let round = gateway.leadership.questions.borrow_mut().ask(now);
