--- a/crates/dyketally-gateway/tests/stored_keys.rs
+++ b/crates/dyketally-gateway/tests/stored_keys.rs
@@ -9,7 +9,8 @@
 use dyketally::failover::FenceId;
 use dyketally::identifiers::{DatabaseName, Locality, NodeName, RegionName, ZoneName};
 use dyketally::placement::LinkClass;
-use dyketally_gateway::fleet::membership::{Keys, NodeRecord};
+use dyketally_gateway::fleet::membership::NodeRecord;
+use dyketally_gateway::store::keys::Keys;
 use dyketally_store::key_value::{Entry, Key, LeaseId, Operation, PutRequest, StoreRevision};
 use rstest::rstest;
 
@@ -66,7 +67,7 @@
         name(keys.of_node(&NodeName::from("n-2"))),
         "proxy/nodes/n-2"
     );
-    assert_eq!(name(keys.duty()), "proxy/duty/primary-control");
+    assert_eq!(name(keys.coordinator()), "proxy/duty/primary-control");
     let database = DatabaseName::from("ledger-1");
     assert_eq!(name(keys.fence(&database)), "proxy/fences/ledger-1");
 }
@@ -86,7 +87,7 @@
 #[test]
 fn a_node_puts_its_record_as_json() {
     let keys = own_keys();
-    for key in [keys.node(), keys.duty()] {
+    for key in [keys.node(), keys.coordinator()] {
         let put = put(keys.put(key.clone(), LeaseId(3)));
         assert_eq!(put.key, key);
         assert_eq!(put.lease, Some(LeaseId(3)));
