--- a/crates/dyketally-gateway/src/context/mod.rs
+++ b/crates/dyketally-gateway/src/context/mod.rs
@@ -3,6 +3,7 @@
 //!
 //! Relies on nothing above it: every part is built with an `Rc<Context>`.
 
+mod accept;
 mod changes;
 mod clock;
 mod configuration;
@@ -15,6 +16,7 @@
 
 use dyketally::time::Timestamp;
 
+pub use self::accept::accept;
 pub use self::changes::Changes;
 pub use self::clock::Clock;
 pub use self::configuration::Configuration;
@@ -57,7 +59,7 @@
         Rc::new(Self {
             settings,
             clock: Clock::start(),
-            events: EventLog::new(),
+            events: EventLog::default(),
             counters: Counters::new(store_calls),
             measures: Rc::default(),
             configuration,
--- a/crates/dyketally-gateway/src/event.rs
+++ b/crates/dyketally-gateway/src/event.rs
@@ -285,12 +285,16 @@
     Difference,
 }
 
+/// One line of the log.
 #[derive(Serialize)]
-struct Line<'a> {
-    at_ms: u64,
-    dropped: u32,
+pub struct Line<'a> {
+    /// Milliseconds since the start of the process.
+    pub at_ms: u64,
+    /// Lines that were dropped since the one before.
+    pub dropped: u32,
+    /// What happened.
     #[serde(flatten)]
-    event: &'a Event<'a>,
+    pub event: &'a Event<'a>,
 }
 
 /// Writes events to standard output.
@@ -302,9 +306,9 @@
     buffer: RefCell<Vec<u8>>,
 }
 
-impl EventLog {
+impl Default for EventLog {
     /// A log that starts now.
-    pub fn new() -> Self {
+    fn default() -> Self {
         Self {
             started: Instant::now(),
             second: Cell::new(0),
@@ -313,7 +317,9 @@
             buffer: RefCell::default(),
         }
     }
+}
 
+impl EventLog {
     /// Writes an event, or counts it when this second's lines are used up.
     pub fn write(&self, event: &Event<'_>) {
         let elapsed = self.started.elapsed();
--- a/crates/dyketally-gateway/src/lib.rs
+++ b/crates/dyketally-gateway/src/lib.rs
@@ -6,9 +6,9 @@
 //! tasks of a process run on one thread, so state is shared without locks.
 
 pub mod context;
-mod counters;
+pub mod counters;
 pub mod database;
-mod event;
+pub mod event;
 pub mod fleet;
 mod gateway;
 mod measures;
