--- a/crates/dyketally-gateway/tests/log_events.rs
+++ b/crates/dyketally-gateway/tests/log_events.rs
@@ -11,8 +11,7 @@
 use dyketally::identifiers::NodeName;
 use dyketally::statement::FailureKind;
 use dyketally_gateway::counters::{Counter, Counters};
-use dyketally_gateway::event::{Event, Line};
-use dyketally_gateway::store::feed::Form;
+use dyketally_gateway::event::{Event, Form, Line};
 use dyketally_gateway::store::metered_store::StoreCalls;
 use serde_json::Value;
 
