--- a/crates/dyketally-gateway/src/database/fences.rs
+++ b/crates/dyketally-gateway/src/database/fences.rs
@@ -1,13 +1,23 @@
 //! Fences that stand at this node: databases that it must no longer take for the leader of their group,
 //! since they are being replaced. Who puts up fences on all nodes is succession's concern.
 
+use std::time::Duration;
+
 use dyketally::failover::{FenceId, StandingFence};
 use dyketally::identifiers::DatabaseName;
+use tokio::time::Instant;
 
 use super::Databases;
 use crate::event::Event;
 
 impl Databases {
+    /// Puts up a fence around `database`; false when it has answered this node since it was suspected
+    /// `suspected` ago, so that it shouldn't be replaced, or the round is over.
+    pub fn fence(&self, database: &DatabaseName, id: FenceId, suspected: Duration) -> bool {
+        !self.has_answered_within(database, suspected)
+            && self.put_up_fence(database.clone(), id, "a node")
+    }
+
     /// Puts up a fence around `database`, requested by `source`; false when the round is over.
     pub fn put_up_fence(&self, database: DatabaseName, id: FenceId, source: &str) -> bool {
         let stood = self.is_fenced(&database);
@@ -78,4 +88,13 @@
             database: database.as_str(),
         });
     }
+
+    fn has_answered_within(&self, database: &DatabaseName, age: Duration) -> bool {
+        let target = self.known_target(database);
+        let since = Instant::now().checked_sub(age);
+        match (target, since) {
+            (Some(target), Some(since)) => target.state.answered_since(since),
+            _ => false,
+        }
+    }
 }
--- a/crates/dyketally-gateway/src/fleet/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/mod.rs
@@ -1,15 +1,16 @@
 //! The nodes: who runs, what they tell each other, and whose connections they use.
 
+pub mod access;
 pub mod coordinator;
-pub mod holders;
+pub mod forwarding;
 pub mod home;
+mod home_search;
 pub mod homes;
 pub mod link;
 pub mod membership;
 pub mod message;
 pub mod passed_over;
 pub mod peer;
-pub mod relay;
 pub mod traffic;
 
 use std::cell::{Cell, RefCell};
@@ -22,11 +23,13 @@
 use self::peer::Peers;
 use self::traffic::Traffic;
 use crate::context::Context;
+use crate::database::SharedDirectory;
 
 /// The nodes as this one knows and talks to them.
 pub struct Fleet {
     /// What all parts share.
     pub cx: Rc<Context>,
+    directory: SharedDirectory,
     /// The nodes that run.
     pub membership: Membership,
     /// Which of them is the failover coordinator.
@@ -45,9 +48,10 @@
 
 impl Fleet {
     /// No other nodes are known yet.
-    pub fn new(cx: Rc<Context>) -> Rc<Self> {
+    pub fn new(cx: Rc<Context>, directory: SharedDirectory) -> Rc<Self> {
         Rc::new(Self {
             cx,
+            directory,
             membership: Membership::default(),
             coordinator: CoordinatorState::default(),
             peers: RefCell::default(),
--- a/crates/dyketally-gateway/src/store/feed/contact.rs
+++ b/crates/dyketally-gateway/src/store/feed/contact.rs
@@ -20,7 +20,7 @@
         RelayContact {
             store: contact.store_age(now).filter(|_| is_held),
             majority: contact.majority_age(now).filter(|_| is_held),
-            fenced: self.databases.fences.borrow().standing(now),
+            fenced: self.databases.standing_fences(),
         }
     }
 
--- a/crates/dyketally-gateway/src/succession/fence.rs
+++ b/crates/dyketally-gateway/src/succession/fence.rs
@@ -36,24 +36,6 @@
     Duration::from_millis(600),
 ];
 
-impl Gateway {
-    /// Stops taking `database` for a leader; false when it has answered this node since it was
-    /// suspected `suspected` ago, so that it shouldn't be replaced, or the round is over.
-    pub fn fence(&self, database: &DatabaseName, id: FenceId, suspected: Duration) -> bool {
-        !self.has_answered_within(database, suspected)
-            && self.databases.put_up_fence(database.clone(), id, "a node")
-    }
-
-    fn has_answered_within(&self, database: &DatabaseName, age: Duration) -> bool {
-        let target = self.known_target(database);
-        let since = Instant::now().checked_sub(age);
-        match (target, since) {
-            (Some(target), Some(since)) => target.state.answered_since(since),
-            _ => false,
-        }
-    }
-}
-
 /// Puts up fences on all nodes.
 pub struct FenceKeeper {
     gateway: Rc<Gateway>,
@@ -139,7 +121,7 @@
         let mut replies = self.peers.collect_fence_replies();
         let mut silent = self.others();
         let mut round = FenceRound::new(gateway.cx.now(), silent.len() + 1);
-        match gateway.fence(database, id, suspected) {
+        match gateway.databases.fence(database, id, suspected) {
             true => round.confirmed(gateway.cx.now()),
             false => round.contested(),
         }
--- a/crates/dyketally-gateway/src/succession/lead.rs
+++ b/crates/dyketally-gateway/src/succession/lead.rs
@@ -146,7 +146,9 @@
         let directory = self.databases.directory.borrow();
         let members = directory.members(&target.group);
         let others = members.filter(|member| member.name() != &target.name);
-        others.map(|member| self.target(member, false)).collect()
+        others
+            .map(|member| self.databases.target(member, false))
+            .collect()
     }
 }
 
