--- a/crates/dyketally-gateway/src/fleet/peer.rs
+++ b/crates/dyketally-gateway/src/fleet/peer.rs
@@ -199,7 +199,7 @@
                 pass_on(&self.life_rounds, round, from);
             }
             PeerMessage::ContactAsked { round } => {
-                let told = self.gateway.tell_short_contact(round);
+                let told = self.gateway.grants.grant_reply(round);
                 self.send(from, &told);
             }
             PeerMessage::ContactTold {
@@ -212,7 +212,8 @@
                     .databases
                     .heard_of_fences(fenced, "a reply about contact");
                 self.gateway
-                    .take_short_contact(round, granted_ms, majority_ms);
+                    .grants
+                    .receive_grant(round, granted_ms, majority_ms);
             }
             PeerMessage::HeartbeatAsked => self.send(from, &PeerMessage::Heartbeat),
             PeerMessage::Heartbeat => {
--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -25,6 +25,7 @@
 use crate::settings::Settings;
 use crate::store::feed::Feed;
 use crate::succession::Leadership;
+use crate::succession::grants::Grants;
 
 /// The parts of the process.
 pub struct Gateway {
@@ -40,6 +41,8 @@
     pub feed: Rc<Feed>,
     /// Who leads which group, as far as this node found out itself.
     pub leadership: Leadership,
+    /// Grants of the failover coordinator.
+    pub grants: Rc<Grants>,
     /// Quotas of tenants.
     pub quotas: Quotas,
     /// Sessions that are open, and how many there may be.
@@ -64,6 +67,7 @@
         let connector = Connector::new(database_protocol, Rc::new(ThroughNodes));
         let databases = Databases::new(cx.clone(), directory, connector, fleet.clone());
         let feed = Feed::new(fleet.clone(), databases.clone());
+        let grants = Grants::new(fleet.clone(), databases.clone(), feed.clone());
         let gateway = Rc::new(Self {
             databases,
             fleet,
@@ -71,6 +75,7 @@
             cx,
             caller_protocol,
             leadership: Leadership::default(),
+            grants,
             quotas,
             sessions,
             unserved_logged: RefCell::default(),
@@ -153,7 +158,7 @@
 
 impl PrimaryWatch for Gateway {
     fn primary_is_unconfirmed(&self, group: &GroupName) -> bool {
-        self.is_unclear(group)
+        Self::primary_is_unconfirmed(self, group)
     }
 
     fn suspect(self: Rc<Self>, target: &Target) {
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -39,11 +39,10 @@
 use crate::store::parts::StoreParts;
 use crate::store::registration::Registration;
 use crate::store::unconfirmed::log_unconfirmed;
+use crate::succession::contact::ContactKeeper;
 use crate::succession::coordinator::CoordinatorKeeper;
 use crate::succession::failover::Failover;
 use crate::succession::fence::FenceKeeper;
-use crate::succession::lead::keep_in_touch;
-use crate::succession::short_contact::keep_short_contact;
 
 /// Pause between two rounds of tidying up.
 const TIDY_INTERVAL: Duration = Duration::from_secs(5);
@@ -104,7 +103,7 @@
         keys,
     };
     let registration = Registration::new(parts.clone());
-    let fences = FenceKeeper::new(gateway.clone(), parts.clone(), peers.clone());
+    let fences = FenceKeeper::new(parts.clone(), gateway.databases.clone(), peers.clone());
     let liveness = Liveness::new(parts.clone(), peers.clone());
     let coordinator = CoordinatorKeeper::new(parts.clone(), peers.clone());
     let failover = Failover::new(
@@ -124,8 +123,9 @@
     }
     tokio::task::spawn_local(forwarding::serve(gateway.clone(), relayed));
     tokio::task::spawn_local(peers.clone().run());
-    tokio::task::spawn_local(keep_in_touch(gateway.clone(), peers.clone()));
-    tokio::task::spawn_local(keep_short_contact(gateway.clone(), peers.clone()));
+    let contact = ContactKeeper::new(gateway.fleet.clone(), gateway.feed.clone(), peers.clone());
+    tokio::task::spawn_local(contact.run());
+    tokio::task::spawn_local(gateway.grants.clone().run(peers.clone()));
     tokio::task::spawn_local(ask_seeds(gateway.feed.clone(), peers.clone()));
     tokio::task::spawn_local(failover.run());
     tokio::task::spawn_local(liveness.run());
--- a/crates/dyketally-gateway/src/succession/failover.rs
+++ b/crates/dyketally-gateway/src/succession/failover.rs
@@ -34,7 +34,7 @@
 /// Pause after an attempt that failed.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// How long a group may be without a known primary before it is given one.
-pub(super) const LEADERLESS: Duration = Duration::from_millis(400);
+pub(super) const NO_PRIMARY_GRACE: Duration = Duration::from_millis(400);
 
 /// Replaces primaries while this node has the duty.
 pub struct Failover {
@@ -68,7 +68,7 @@
     /// No node reaches it. It was suspected this long ago.
     Lost(Target, Duration),
     /// Nobody leads.
-    Leaderless,
+    NoPrimary,
 }
 
 impl Cause {
@@ -81,7 +81,7 @@
             | Self::Misplaced(old, _)
             | Self::Cold(old)
             | Self::Lost(old, _) => Some(old),
-            Self::Leaderless => None,
+            Self::NoPrimary => None,
         }
     }
 }
@@ -162,7 +162,7 @@
         let holds = self.gateway.fleet.coordinator.term().is_some();
         let Some((primary, state)) = self.known_primary(group) else {
             return match holds {
-                true => self.leaderless(group).await,
+                true => self.without_primary(group).await,
                 false => None,
             };
         };
@@ -244,8 +244,8 @@
         Some((self.gateway.databases.target(primary, true), primary.state))
     }
 
-    async fn leaderless(self: &Rc<Self>, group: &GroupName) -> Option<Cause> {
-        let until = Instant::now() + LEADERLESS;
+    async fn without_primary(self: &Rc<Self>, group: &GroupName) -> Option<Cause> {
+        let until = Instant::now() + NO_PRIMARY_GRACE;
         while Instant::now() < until {
             self.gateway.search_primary(group);
             self.gateway.cx.changes.next(until).await;
@@ -256,7 +256,7 @@
         if !self.gateway.databases.directory_is_settled() {
             return None;
         }
-        Some(Cause::Leaderless)
+        Some(Cause::NoPrimary)
     }
 
     async fn verdict(self: &Rc<Self>, primary: &Target, since: Instant) -> Verdict {
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -1,14 +1,15 @@
 //! Who leads a group: confirming it, noticing that a primary is lost, and replacing it.
 
 mod appointment;
+pub mod checks;
 pub mod confirm;
+pub mod contact;
 pub mod coordinator;
 pub mod failover;
 pub mod fence;
-pub mod lead;
+pub mod grants;
 pub mod probe;
 mod replacement;
-pub mod short_contact;
 mod survey;
 
 use std::cell::{Cell, RefCell};
@@ -18,15 +19,12 @@
 use dyketally::identifiers::GroupName;
 use dyketally::time::Timestamp;
 
-use self::lead::Vettings;
-use self::short_contact::Questions;
+use self::checks::LeadershipChecks;
 
 /// What this node found out about who leads which group.
 #[derive(Default)]
 pub struct Leadership {
     groups: RefCell<HashMap<GroupName, Rc<GroupLeadership>>>,
-    /// Questions for the short contact that may yet be answered.
-    questions: RefCell<Questions>,
 }
 
 /// What this node found out about the leader of one group.
@@ -37,7 +35,7 @@
     /// When the running confirmation was sent, if one runs.
     confirming: Cell<Option<Timestamp>>,
     /// What an isolated node learnt of the group's other databases.
-    vettings: Vettings,
+    checks: LeadershipChecks,
 }
 
 impl Leadership {
--- a/crates/dyketally-gateway/src/succession/replacement.rs
+++ b/crates/dyketally-gateway/src/succession/replacement.rs
@@ -13,7 +13,7 @@
 use crate::database::target::Target;
 use crate::ports::OwnStatement;
 use crate::succession::appointment::Appointed;
-use crate::succession::failover::{Cause, Failover, LEADERLESS, RETRY_PAUSE};
+use crate::succession::failover::{Cause, Failover, NO_PRIMARY_GRACE, RETRY_PAUSE};
 use crate::succession::survey::{STATUS_LIMIT, Survey};
 
 /// How long the databases' positions may be taken for those of now.
@@ -48,7 +48,7 @@
                 self.move_lead(group, old, &anywhere).await
             }
             Cause::Lost(old, suspected) => self.take_over(group, Some(old), *suspected).await,
-            Cause::Leaderless => self.take_over(group, None, LEADERLESS).await,
+            Cause::NoPrimary => self.take_over(group, None, NO_PRIMARY_GRACE).await,
         };
         if self.acknowledging(group) > 0 && !succeeded {
             self.survey(group, cause.old(), OwnStatement::Resume).await;
