--- a/crates/dyketally-gateway/src/fleet/forwarding.rs
+++ b/crates/dyketally-gateway/src/fleet/forwarding.rs
@@ -106,7 +106,7 @@
         }
         Opening::Feed => {
             drop(forwarded);
-            feed::serve(gateway, stream).await;
+            feed::serve(gateway.feed.clone(), stream).await;
             Ok(())
         }
     }
--- a/crates/dyketally-gateway/src/fleet/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/mod.rs
@@ -1,13 +1,12 @@
 //! The nodes: who runs, what they tell each other, and whose connections they use.
 
 pub mod access;
+pub mod coordinator;
 pub mod forwarding;
 pub mod home;
 mod home_search;
 pub mod homes;
 pub mod link;
-pub mod liveness;
-pub mod member;
 pub mod membership;
 pub mod message;
 pub mod passed_over;
@@ -17,6 +16,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+use self::coordinator::CoordinatorState;
 use self::homes::Homes;
 use self::link::Links;
 use self::membership::Membership;
@@ -30,8 +30,10 @@
     /// What all parts share.
     pub cx: Rc<Context>,
     directory: SharedDirectory,
-    /// Nodes and the duty of replacing primaries.
+    /// The nodes that run.
     pub membership: Membership,
+    /// Which of them is the failover coordinator.
+    pub coordinator: CoordinatorState,
     /// The socket that nodes talk over, once it is bound.
     pub peers: RefCell<Option<Rc<Peers>>>,
     /// Where the bytes go that this process sends to other nodes.
@@ -51,6 +53,7 @@
             cx,
             directory,
             membership: Membership::default(),
+            coordinator: CoordinatorState::default(),
             peers: RefCell::default(),
             traffic: Traffic::default(),
             homes: Homes::default(),
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -5,6 +5,7 @@
 mod exposition;
 mod listen;
 mod metrics;
+mod nodes_handler;
 mod readiness;
 mod stop;
 mod updates;
@@ -21,9 +22,7 @@
 use self::listen::bind;
 use crate::event::Event;
 use crate::fleet::forwarding;
-use crate::fleet::liveness::Liveness;
-use crate::fleet::member::Member;
-use crate::fleet::membership::{Keys, NodeRecord};
+use crate::fleet::membership::NodeRecord;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
 use crate::gateway::Gateway;
@@ -34,13 +33,16 @@
 use crate::session;
 use crate::settings::Settings;
 use crate::store::feed::ask_seeds;
+use crate::store::keys::Keys;
+use crate::store::liveness::Liveness;
 use crate::store::metered_store::StoreCalls;
-use crate::store::unconfirmed::tell_unconfirmed;
-use crate::succession::duty::DutyKeeper;
+use crate::store::parts::StoreParts;
+use crate::store::registration::Registration;
+use crate::store::unconfirmed::log_unconfirmed;
+use crate::succession::contact::ContactKeeper;
+use crate::succession::coordinator::CoordinatorKeeper;
 use crate::succession::failover::Failover;
 use crate::succession::fence::FenceKeeper;
-use crate::succession::lead::keep_in_touch;
-use crate::succession::short_contact::keep_short_contact;
 
 /// Pause between two rounds of tidying up.
 const TIDY_INTERVAL: Duration = Duration::from_secs(5);
@@ -93,14 +95,22 @@
     *gateway.fleet.peers.borrow_mut() = Some(peers.clone());
     let prefix = adapters.documents.own_prefix();
     let keys = Rc::new(Keys::new(prefix, own_record(&gateway)));
-    let store = &adapters.store;
-    let member = Member::new(gateway.clone(), store.clone(), keys.clone());
-    let fences = FenceKeeper::new(gateway.clone(), peers.clone(), store.clone(), keys.clone());
-    let liveness = Liveness::new(gateway.clone(), peers.clone(), store.clone(), keys.clone());
-    let duty = DutyKeeper::new(gateway.clone(), store.clone(), keys.clone(), peers.clone());
+    let parts = StoreParts {
+        cx: gateway.cx.clone(),
+        fleet: gateway.fleet.clone(),
+        feed: gateway.feed.clone(),
+        store: adapters.store.clone(),
+        keys,
+    };
+    let registration = Registration::new(parts.clone());
+    let fences = FenceKeeper::new(parts.clone(), gateway.databases.clone(), peers.clone());
+    let liveness = Liveness::new(parts.clone(), peers.clone());
+    let coordinator = CoordinatorKeeper::new(parts.clone(), peers.clone());
     let failover = Failover::new(
-        gateway.clone(),
-        duty.clone(),
+        gateway.databases.clone(),
+        gateway.fleet.clone(),
+        gateway.leadership.clone(),
+        coordinator.clone(),
         peers.clone(),
         adapters.control,
         fences,
@@ -115,23 +125,17 @@
     }
     tokio::task::spawn_local(forwarding::serve(gateway.clone(), relayed));
     tokio::task::spawn_local(peers.clone().run());
-    tokio::task::spawn_local(keep_in_touch(gateway.clone(), peers.clone()));
-    tokio::task::spawn_local(keep_short_contact(gateway.clone(), peers.clone()));
-    tokio::task::spawn_local(ask_seeds(gateway.clone(), peers.clone()));
+    let contact = ContactKeeper::new(gateway.fleet.clone(), gateway.feed.clone(), peers.clone());
+    tokio::task::spawn_local(contact.run());
+    tokio::task::spawn_local(gateway.leadership.grants.clone().run(peers.clone()));
+    tokio::task::spawn_local(ask_seeds(gateway.feed.clone(), peers.clone()));
     tokio::task::spawn_local(failover.run());
     tokio::task::spawn_local(liveness.run());
-    let joined = tokio::task::spawn_local(member.clone().run());
-    let on_duty = tokio::task::spawn_local(duty.run());
+    let registered = tokio::task::spawn_local(registration.run());
+    let coordinating = tokio::task::spawn_local(coordinator.run());
     tokio::task::spawn_local(tidy(gateway.clone()));
-    tokio::task::spawn_local(tell_unconfirmed(gateway.clone()));
-    let own_key = keys.node();
-    updates::follow_store(
-        &gateway,
-        &adapters.store,
-        &adapters.documents,
-        &member,
-        own_key,
-    );
+    tokio::task::spawn_local(log_unconfirmed(gateway.cx.clone(), gateway.feed.clone()));
+    updates::watch_store(&gateway, &parts, &adapters.documents);
     let accepting = tokio::task::spawn_local(session::serve_callers(gateway.clone(), callers));
     loop {
         tokio::select! {
@@ -141,7 +145,7 @@
             }),
         }
     }
-    let left = futures::future::join(joined, on_duty);
+    let left = futures::future::join(registered, coordinating);
     stop::stop(&gateway, left, accepting).await;
     peers.broadcast(&PeerMessage::Ends {
         node: gateway.cx.settings.node.name.clone(),
--- a/crates/dyketally-gateway/src/node/updates.rs
+++ b/crates/dyketally-gateway/src/node/updates.rs
@@ -7,78 +7,73 @@
 
 use dyketally::directory::{Announcement, DirectoryChange};
 use dyketally::identifiers::ZoneName;
-use dyketally_store::KeyValueStore;
 use dyketally_store::key_value::{Entry, Key, WatchEvent};
 use dyketally_store::update::StoreUpdate;
 
+use super::nodes_handler::NodesHandler;
 use crate::event::Event;
-use crate::fleet::member::Member;
 use crate::gateway::Gateway;
 use crate::ports::StoredDocuments;
-use crate::store::feed::{Follower, Sink, Subject};
-use crate::store::follow::{FirstRead, Followed, Gathering, follow};
+use crate::store::feed::{Subject, Subscriber, UpdateHandler};
+use crate::store::parts::StoreParts;
+use crate::store::watch::{FirstRead, Gathering, Watched, Watcher};
 
 /// Pause after databases changed before further changes are taken in, for each database.
 const ANNOUNCEMENTS_GATHERING: Duration = Duration::from_millis(20);
 /// Pause after nodes came or went before further ones are taken in, for each node.
 const NODES_GATHERING: Duration = Duration::from_millis(14);
 
-/// Follows the store for as long as the process runs, and applies what it holds.
-pub(super) fn follow_store(
+/// Starts to watch the store, and to follow relays instead where there are any; applies what it holds.
+pub(super) fn watch_store(
     gateway: &Rc<Gateway>,
-    store: &Rc<dyn KeyValueStore>,
+    parts: &StoreParts,
     documents: &Rc<dyn StoredDocuments>,
-    member: &Rc<Member>,
-    own_key: Key,
 ) {
     let reader = Reader {
         gateway: gateway.clone(),
         documents: documents.clone(),
     };
     let configuration = reader.clone();
-    let configuration: Sink = Rc::new(move |update| configuration.take_configuration(update));
-    let announcements: Sink = Rc::new(move |update| reader.take_announcements(update));
-    let member = member.clone();
-    let nodes: Sink = Rc::new(move |update| member.take_in(update));
-    let start = |prefix, gathering, subject, first, sink: &Sink| {
-        let followed = Followed {
-            prefix,
-            gathering,
-            subject,
-            first,
-        };
-        let following = follow(gateway.clone(), store.clone(), followed, sink.clone());
-        tokio::task::spawn_local(following);
+    let configuration: UpdateHandler =
+        Rc::new(move |update| configuration.receive_configuration(update));
+    let announcements: UpdateHandler = Rc::new(move |update| reader.receive_announcements(update));
+    let nodes = NodesHandler::new(gateway.clone(), parts.keys.clone());
+    let nodes: UpdateHandler = Rc::new(move |update| nodes.receive(update));
+    let readiness = gateway.clone();
+    let is_ready: Rc<dyn Fn() -> bool> = Rc::new(move || readiness.is_ready());
+    let watch = |watched, handler: &UpdateHandler| {
+        let watcher = Watcher::new(parts.clone(), watched, handler.clone(), is_ready.clone());
+        tokio::task::spawn_local(watcher.run());
+    };
+    let watched = Watched {
+        prefix: documents.operators_prefix(),
+        gathering: Gathering::Bursts,
+        subject: Subject::Configuration,
+        first: FirstRead::Stale,
     };
-    start(
-        documents.operators_prefix(),
-        Gathering::Bursts,
-        Subject::Configuration,
-        FirstRead::Stale,
-        &configuration,
-    );
-    start(
-        documents.announcements_prefix(),
-        Gathering::PerKey(ANNOUNCEMENTS_GATHERING),
-        Subject::Announcements,
+    watch(watched, &configuration);
+    let watched = Watched {
+        prefix: documents.announcements_prefix(),
+        gathering: Gathering::PerKey(ANNOUNCEMENTS_GATHERING),
+        subject: Subject::Announcements,
         // An old list may name a primary that was replaced meanwhile.
-        FirstRead::Newest,
-        &announcements,
-    );
-    start(
-        documents.own_prefix(),
-        Gathering::PerKey(NODES_GATHERING),
-        Subject::Nodes,
-        FirstRead::Stale,
-        &nodes,
-    );
-    let sinks = HashMap::from([
+        first: FirstRead::Newest,
+    };
+    watch(watched, &announcements);
+    let watched = Watched {
+        prefix: documents.own_prefix(),
+        gathering: Gathering::PerKey(NODES_GATHERING),
+        subject: Subject::Nodes,
+        first: FirstRead::Stale,
+    };
+    watch(watched, &nodes);
+    let handlers = HashMap::from([
         (Subject::Configuration, configuration),
         (Subject::Announcements, announcements),
         (Subject::Nodes, nodes),
     ]);
-    let follower = Follower::new(gateway.clone(), sinks, store.clone(), own_key);
-    tokio::task::spawn_local(follower.run());
+    let subscriber = Subscriber::new(parts.clone(), handlers);
+    tokio::task::spawn_local(subscriber.run());
 }
 
 /// Applies documents of the store.
@@ -89,7 +84,7 @@
 }
 
 impl Reader {
-    fn take_configuration(&self, update: StoreUpdate) {
+    fn receive_configuration(&self, update: StoreUpdate) {
         match update {
             StoreUpdate::All(entries) => {
                 for entry in &entries {
@@ -128,7 +123,7 @@
         }
     }
 
-    fn take_announcements(&self, update: StoreUpdate) {
+    fn receive_announcements(&self, update: StoreUpdate) {
         let now = self.gateway.cx.now();
         let changes: Vec<DirectoryChange> = match update {
             StoreUpdate::All(entries) => {
--- a/crates/dyketally-gateway/src/store/feed/message.rs
+++ b/crates/dyketally-gateway/src/store/feed/message.rs
@@ -13,7 +13,8 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use super::Subject;
+use super::subject::Subject;
+
 pub use crate::context::contact::RelayContact;
 
 /// Messages from this length on are compressed, in bytes: a configuration may have hundreds of
