--- a/crates/dyketally-gateway/src/fleet/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/mod.rs
@@ -1,34 +1,39 @@
 //! The nodes: who runs, what they tell each other, and whose connections they use.
 
-pub mod holders;
+pub mod access;
+pub mod coordinator;
+pub mod forwarding;
 pub mod home;
+mod home_search;
 pub mod homes;
 pub mod link;
-pub mod liveness;
-pub mod member;
 pub mod membership;
 pub mod message;
 pub mod passed_over;
 pub mod peer;
-pub mod relay;
 pub mod traffic;
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+use self::coordinator::CoordinatorState;
 use self::homes::Homes;
 use self::link::Links;
 use self::membership::Membership;
 use self::peer::Peers;
 use self::traffic::Traffic;
 use crate::context::Context;
+use crate::database::SharedDirectory;
 
 /// The nodes as this one knows and talks to them.
 pub struct Fleet {
     /// What all parts share.
     pub cx: Rc<Context>,
-    /// Nodes and the duty of replacing primaries.
+    directory: SharedDirectory,
+    /// The nodes that run.
     pub membership: Membership,
+    /// Which of them is the failover coordinator.
+    pub coordinator: CoordinatorState,
     /// The socket that nodes talk over, once it is bound.
     pub peers: RefCell<Option<Rc<Peers>>>,
     /// Where the bytes go that this process sends to other nodes.
@@ -43,10 +48,12 @@
 
 impl Fleet {
     /// No other nodes are known yet.
-    pub fn new(cx: Rc<Context>) -> Rc<Self> {
+    pub fn new(cx: Rc<Context>, directory: SharedDirectory) -> Rc<Self> {
         Rc::new(Self {
             cx,
+            directory,
             membership: Membership::default(),
+            coordinator: CoordinatorState::default(),
             peers: RefCell::default(),
             traffic: Traffic::default(),
             homes: Homes::default(),
