--- a/crates/dyketally-gateway/src/database/checkout.rs
+++ b/crates/dyketally-gateway/src/database/checkout.rs
@@ -59,4 +59,11 @@
             watch.suspect(target);
         }
     }
+
+    /// Has `target` reported as lost if it is a primary.
+    pub fn report_lost(&self, target: &Target) {
+        if let Some(watch) = self.watch().filter(|_| self.is_primary(target)) {
+            watch.report(target);
+        }
+    }
 }
--- a/crates/dyketally-gateway/src/database/primary.rs
+++ b/crates/dyketally-gateway/src/database/primary.rs
@@ -17,6 +17,9 @@
     /// Probes `target`, which can't be reached, if it is a primary.
     fn suspect(self: Rc<Self>, target: &Target);
 
+    /// Reports that the primary `target` is probably lost, without probing it.
+    fn report(&self, target: &Target);
+
     /// Looks whether a primary has to be replaced: databases or evacuations changed.
     fn look_at_primaries(&self);
 }
--- /dev/null
+++ b/crates/dyketally-gateway/src/fleet/connection.rs
@@ -0,0 +1,95 @@
+//! A connection to a database for one exchange or one transaction: of this node's own pool, or kept
+//! by a home.
+
+use std::time::Duration;
+
+use dyketally::eligibility::Permission;
+use dyketally::identifiers::DatabaseName;
+
+use crate::database::batch::{Batch, Reset};
+use crate::database::claim::{Refusal, failure_kind};
+use crate::database::connection::{Answer, leave_idle};
+use crate::database::pool;
+use crate::fleet::link::{CallError, HomeCall};
+use crate::ports::OwnStatement;
+
+/// Longest time that rolling back a transaction may take before its connection is closed instead. Not
+/// measured.
+const ROLLBACK_LIMIT: Duration = Duration::from_secs(2);
+
+/// A connection in use. Dropping it closes the connection; [`DatabaseConnection::give_back`] keeps it.
+pub enum DatabaseConnection {
+    /// Of this node's own pool.
+    Own(pool::Checkout),
+    /// At a home, which hands it out with the first batch.
+    Remote(HomeCall),
+}
+
+impl DatabaseConnection {
+    /// Returns the connection for others to use. It must be outside any transaction.
+    pub fn give_back(self) {
+        match self {
+            Self::Own(checkout) => checkout.give_back(),
+            Self::Remote(call) => call.give_back(),
+        }
+    }
+
+    /// Drops the transaction that is open on the connection, in the background, and returns it.
+    pub fn roll_back(self, reset: Reset) {
+        let mut checkout = self;
+        tokio::task::spawn_local(async move {
+            let mut batch = Batch::own([OwnStatement::Rollback]);
+            batch.reset = reset;
+            let permission = Permission::control(checkout.database());
+            let running = checkout.run(&batch, permission);
+            let rolled_back = tokio::time::timeout(ROLLBACK_LIMIT, running).await;
+            let Ok(Ok(answers)) = rolled_back else {
+                return;
+            };
+            if leave_idle(&answers) {
+                checkout.give_back();
+            }
+        });
+    }
+
+    /// Waits for its turn to run a batch that goes on with a transaction. A home waits by itself.
+    pub async fn wait_for_turn(&mut self, batch: &Batch) {
+        match self {
+            Self::Own(checkout) => checkout.wait_for_turn(batch).await,
+            Self::Remote(_) => {}
+        }
+    }
+
+    /// The database that it leads to.
+    fn database(&self) -> &DatabaseName {
+        match self {
+            Self::Own(checkout) => checkout.database(),
+            Self::Remote(call) => call.database(),
+        }
+    }
+
+    /// Runs a batch, for which `permission` was obtained.
+    pub(super) async fn run(
+        &mut self,
+        batch: &Batch,
+        permission: Permission,
+    ) -> Result<Vec<Answer>, CallError> {
+        match self {
+            Self::Own(checkout) => {
+                let run = checkout.run(batch, permission);
+                run.await.map_err(call_error)
+            }
+            Self::Remote(call) => call.run(batch, permission).await,
+        }
+    }
+}
+
+fn call_error(error: pool::RunError) -> CallError {
+    match error {
+        pool::RunError::Denied(denial) => CallError::NotRun(Refusal {
+            kind: failure_kind(denial),
+            unreachable: false,
+        }),
+        pool::RunError::Broken(broken) => CallError::DatabaseBroke(broken),
+    }
+}
--- a/crates/dyketally-gateway/src/fleet/forwarding.rs
+++ b/crates/dyketally-gateway/src/fleet/forwarding.rs
@@ -9,6 +9,7 @@
 use async_trait::async_trait;
 use dyketally::failover::Evidence;
 use dyketally::identifiers::DatabaseName;
+use futures::future::LocalBoxFuture;
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -18,9 +19,8 @@
 use crate::database::connection::{Forwarding, prepare_socket};
 use crate::database::pool::OPEN_LIMIT;
 use crate::database::target::Target;
+use crate::fleet::access::DatabaseAccess;
 use crate::fleet::home;
-use crate::gateway::Gateway;
-use crate::store::feed;
 
 /// Pause before a connection is accepted after a failure; not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -75,50 +75,55 @@
     Ok(stream)
 }
 
+/// Serves the connection of a node that subscribes to this node's copy of the store.
+pub type ServeFeed = Rc<dyn Fn(TcpStream) -> LocalBoxFuture<'static, ()>>;
+
 /// Serves connections of other nodes until the process ends.
-pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener) {
+pub async fn serve(access: Rc<DatabaseAccess>, serve_feed: ServeFeed, listener: TcpListener) {
     let forwarded = Rc::new(());
     loop {
         let stream = accept(&listener, ACCEPT_PAUSE).await;
-        let gateway = gateway.clone();
+        let access = access.clone();
+        let serve_feed = serve_feed.clone();
         let forwarded = forwarded.clone();
         tokio::task::spawn_local(async move {
             // The asking node sees a connection that ends, whatever the reason.
-            let _ = serve_one(gateway, stream, forwarded).await;
+            let _ = serve_one(access, serve_feed, stream, forwarded).await;
         });
     }
 }
 
 /// Serves one connection; `forwarded` is shared by all that are forwarded.
 async fn serve_one(
-    gateway: Rc<Gateway>,
+    access: Rc<DatabaseAccess>,
+    serve_feed: ServeFeed,
     mut stream: TcpStream,
     forwarded: Rc<()>,
 ) -> std::io::Result<()> {
     prepare_socket(&stream);
     match tokio::time::timeout(OPEN_LIMIT, read_opening(&mut stream)).await?? {
         Opening::Forward { .. } if Rc::strong_count(&forwarded) > FORWARDED_AT_MOST => Ok(()),
-        Opening::Forward { database } => forward(&gateway, stream, &database).await,
+        Opening::Forward { database } => forward(&access, stream, &database).await,
         Opening::Calls => {
             drop(forwarded);
-            home::serve(gateway, stream).await;
+            home::serve(access, stream).await;
             Ok(())
         }
         Opening::Feed => {
             drop(forwarded);
-            feed::serve(gateway.feed.clone(), stream).await;
+            serve_feed(stream).await;
             Ok(())
         }
     }
 }
 
 async fn forward(
-    gateway: &Rc<Gateway>,
+    access: &DatabaseAccess,
     mut stream: TcpStream,
     database: &DatabaseName,
 ) -> std::io::Result<()> {
     let address = {
-        let directory = gateway.databases.directory.borrow();
+        let directory = access.databases.directory.borrow();
         let member = directory.member(database);
         member.map(|member| member.announcement.address)
     };
@@ -139,13 +144,13 @@
     postcard::from_bytes(&body).map_err(std::io::Error::other)
 }
 
-impl Gateway {
+impl DatabaseAccess {
     /// Asks the other nodes who reaches `target`, and has the first that does forward connections to it.
     pub fn find_forwarder(self: &Rc<Self>, target: &Target) {
         let Some(peers) = self.fleet.peers.borrow().clone() else {
             return;
         };
-        let gateway = self.clone();
+        let access = self.clone();
         let target = target.clone();
         tokio::task::spawn_local(async move {
             let mut poll = peers.poll(&target.group, &target.name);
@@ -153,10 +158,10 @@
             while let Ok(Some(vote)) =
                 tokio::time::timeout_at(until, poll.votes.receiver.recv()).await
             {
-                let may_forward = gateway.may_forward(vote.from, &target);
+                let may_forward = access.may_forward(vote.from, &target);
                 if vote.evidence == Evidence::Answered && may_forward {
                     target.state.pool.forward_by(vote.from);
-                    gateway.cx.changes.notify();
+                    access.fleet.cx.changes.notify();
                     return;
                 }
             }
@@ -165,8 +170,8 @@
 
     /// True when a connection to `target` may go by way of the node at `address`: where regions are
     /// bound, only through the database's own region, which all that may run there may enter.
-    pub fn may_forward(&self, address: SocketAddr, target: &Target) -> bool {
-        if !self.cx.routes().binds_regions() {
+    fn may_forward(&self, address: SocketAddr, target: &Target) -> bool {
+        if !self.fleet.cx.routes().binds_regions() {
             return true;
         }
         let nodes = self.fleet.membership.nodes();
--- a/crates/dyketally-gateway/src/fleet/home.rs
+++ b/crates/dyketally-gateway/src/fleet/home.rs
@@ -17,9 +17,10 @@
 use crate::database::claim::{Claim, Refusal};
 use crate::database::connection::{Broken, leave_idle};
 use crate::database::target::Target;
+use crate::fleet::Fleet;
+use crate::fleet::access::{DatabaseAccess, ExchangeError};
+use crate::fleet::connection::DatabaseConnection;
 use crate::fleet::link::{Call, CallReply, Frames, frames};
-use crate::gateway::Gateway;
-use crate::statement::checkout::{Checkout, Unanswered};
 
 /// How long a call goes on whose link was closed, so that its connection can be kept.
 const ABANDONED_LIMIT: Duration = Duration::from_millis(400);
@@ -27,7 +28,7 @@
 /// A connection that is kept for a link while a transaction is open on it. Dropping it drops the
 /// transaction.
 struct Bound {
-    checkout: Option<Checkout>,
+    checkout: Option<DatabaseConnection>,
     target: Target,
 }
 
@@ -40,24 +41,24 @@
 }
 
 /// Counts a call as running, or a transaction as open, until it is dropped.
-struct Busy(Rc<Gateway>);
+struct Busy(Rc<Fleet>);
 
 impl Busy {
-    fn begin(gateway: &Rc<Gateway>) -> Self {
-        gateway.fleet.calls.set(gateway.fleet.calls.get() + 1);
-        Self(gateway.clone())
+    fn begin(fleet: &Rc<Fleet>) -> Self {
+        fleet.calls.set(fleet.calls.get() + 1);
+        Self(fleet.clone())
     }
 }
 
 impl Drop for Busy {
     fn drop(&mut self) {
-        let calls = &self.0.fleet.calls;
+        let calls = &self.0.calls;
         calls.set(calls.get() - 1);
     }
 }
 
 /// Serves the calls of one link until it is closed.
-pub async fn serve(gateway: Rc<Gateway>, stream: TcpStream) {
+pub async fn serve(access: Rc<DatabaseAccess>, stream: TcpStream) {
     let Ok(caller) = stream.peer_addr() else {
         return;
     };
@@ -67,18 +68,16 @@
         let Ok(call) = postcard::from_bytes::<Call<'_>>(&message) else {
             return;
         };
-        let _busy = Busy::begin(&gateway);
-        let running = run(&gateway, bound.take(), call);
+        let _busy = Busy::begin(&access.fleet);
+        let running = run(&access, bound.take(), call);
         let Some((reply, kept)) = unless_abandoned(running, &mut frames).await else {
             return;
         };
-        bound = kept.map(|kept| (kept, Busy::begin(&gateway)));
+        bound = kept.map(|kept| (kept, Busy::begin(&access.fleet)));
         let Ok(message) = postcard::to_stdvec(&reply) else {
             return;
         };
-        gateway
-            .fleet
-            .count_sent("call_reply", caller, message.len());
+        access.fleet.count_sent("call_reply", caller, message.len());
         if frames.send(Bytes::from(message)).await.is_err() {
             return;
         }
@@ -100,14 +99,14 @@
 }
 
 async fn run(
-    gateway: &Rc<Gateway>,
+    access: &Rc<DatabaseAccess>,
     bound: Option<(Bound, Busy)>,
     call: Call<'_>,
 ) -> (CallReply, Option<Bound>) {
     let begins = bound.is_none();
     let mut bound = match bound {
         Some((bound, _)) => bound,
-        None => match bind(gateway, &call).await {
+        None => match bind(access, &call).await {
             Ok(bound) => bound,
             Err(reply) => return (reply, None),
         },
@@ -117,13 +116,13 @@
     };
     let target = bound.target.clone();
     checkout.wait_for_turn(&call.batch).await;
-    let permission = match permission(gateway, &target, &call.batch, Begins(begins)) {
+    let permission = match permission(access, &target, &call.batch, Begins(begins)) {
         Ok(permission) => permission,
         Err(denial) => return (denied(denial), None),
     };
-    let exchange = gateway.exchange(&mut checkout, &target, &call.batch, permission);
+    let exchange = access.exchange(&mut checkout, &target, &call.batch, permission);
     match exchange.await {
-        Ok(_) if call.batch.needs_leader() && gateway.databases.is_fenced(&target.name) => {
+        Ok(_) if call.batch.needs_leader() && access.databases.is_fenced(&target.name) => {
             (CallReply::Broken(Broken::replaced().reason), None)
         }
         Ok(answers) => {
@@ -134,8 +133,8 @@
             bound.checkout = Some(checkout);
             (CallReply::Answers(answers), Some(bound))
         }
-        Err(Unanswered::Lost(broken)) => (CallReply::Broken(broken.reason), None),
-        Err(Unanswered::NotRun(kind)) => {
+        Err(ExchangeError::Lost(broken)) => (CallReply::Broken(broken.reason), None),
+        Err(ExchangeError::NotRun(kind)) => {
             let unreachable = false;
             (CallReply::Refused(Refusal { kind, unreachable }), None)
         }
@@ -147,7 +146,7 @@
 
 /// Leave to run a call's batch. Where callers may be served was judged by the node that calls.
 fn permission(
-    gateway: &Gateway,
+    access: &DatabaseAccess,
     target: &Target,
     batch: &Batch,
     Begins(begins): Begins,
@@ -160,7 +159,7 @@
         true => Intent::first(&ServingRegions::anywhere(), needs_leader),
         false => Intent::further(needs_leader),
     };
-    gateway.databases.may_send(target, &intent)
+    access.databases.may_send(target, &intent)
 }
 
 fn denied(denial: Denial) -> CallReply {
@@ -170,18 +169,18 @@
     })
 }
 
-async fn bind(gateway: &Rc<Gateway>, call: &Call<'_>) -> Result<Bound, CallReply> {
-    if gateway.cx.stop.is_stopping() {
+async fn bind(access: &Rc<DatabaseAccess>, call: &Call<'_>) -> Result<Bound, CallReply> {
+    if access.fleet.cx.stop.is_stopping() {
         return Err(CallReply::Leaving);
     }
-    let Some(target) = gateway.databases.known_target(&call.database) else {
+    let Some(target) = access.databases.known_target(&call.database) else {
         return Err(CallReply::Refused(Refusal {
             kind: FailureKind::WrongDatabase,
             unreachable: true,
         }));
     };
     // It may have to wait for a connection, so it is asked again before it is sent.
-    let permitted = permission(gateway, &target, &call.batch, Begins(true));
+    let permitted = permission(access, &target, &call.batch, Begins(true));
     drop(permitted.map_err(denied)?);
     let none = BTreeMap::new();
     let context = call.batch.context.as_ref();
@@ -197,10 +196,10 @@
         user: call.user.clone(),
         regions: ServingRegions::anywhere(),
     };
-    let checkout = gateway.databases.checkout(&target, values, claim);
+    let checkout = access.databases.checkout(&target, values, claim);
     match checkout.await {
         Ok(checkout) => Ok(Bound {
-            checkout: Some(Checkout::Own(checkout)),
+            checkout: Some(DatabaseConnection::Own(checkout)),
             target,
         }),
         Err(refusal) => Err(CallReply::Refused(refusal)),
--- a/crates/dyketally-gateway/src/fleet/link.rs
+++ b/crates/dyketally-gateway/src/fleet/link.rs
@@ -22,8 +22,9 @@
 use crate::database::batch::Batch;
 use crate::database::claim::{Claim, Refusal, Work};
 use crate::database::connection::{Answer, Broken, is_quiet, leave_idle};
+use crate::fleet::Fleet;
+use crate::fleet::access::DatabaseAccess;
 use crate::fleet::forwarding::{self, Opening};
-use crate::gateway::Gateway;
 use crate::measures::Stage;
 use crate::ports::DatabaseUser;
 
@@ -122,9 +123,9 @@
         !is_quiet(self.frames.get_ref())
     }
 
-    async fn call(&mut self, gateway: &Gateway, call: &Call<'_>) -> Result<CallReply, Broken> {
+    async fn call(&mut self, fleet: &Fleet, call: &Call<'_>) -> Result<CallReply, Broken> {
         let message = postcard::to_stdvec(call).map_err(Broken::new)?;
-        gateway.fleet.count_sent("call", self.home, message.len());
+        fleet.count_sent("call", self.home, message.len());
         self.frames
             .send(Bytes::from(message))
             .await
@@ -179,7 +180,7 @@
 /// A connection to a database at one of its homes. Dropping it closes the link, and the home drops
 /// the transaction; [`HomeCall::give_back`] keeps the link.
 pub struct HomeCall {
-    gateway: Rc<Gateway>,
+    access: Rc<DatabaseAccess>,
     database: DatabaseName,
     homes: Rc<[SocketAddr]>,
     claim: Claim,
@@ -193,13 +194,13 @@
 impl HomeCall {
     /// A call that hasn't begun.
     pub fn new(
-        gateway: Rc<Gateway>,
+        access: Rc<DatabaseAccess>,
         database: DatabaseName,
         homes: Rc<[SocketAddr]>,
         claim: Claim,
     ) -> Self {
         Self {
-            gateway,
+            access,
             database,
             homes,
             claim,
@@ -248,9 +249,13 @@
             };
             let began = Instant::now();
             let reply = self
-                .call_watched(home, link.call(&self.gateway, &call))
+                .call_watched(home, link.call(&self.access.fleet, &call))
                 .await;
-            self.gateway.cx.measures.spent(Stage::Link, began.elapsed());
+            self.access
+                .fleet
+                .cx
+                .measures
+                .spent(Stage::Link, began.elapsed());
             let reply = reply.map_err(|broken| {
                 self.pass_over(home);
                 CallError::HomeLost(broken)
@@ -258,7 +263,7 @@
             self.link = Some((home, link));
             match reply {
                 CallReply::Answers(answers) => {
-                    self.gateway.databases.pacer(&self.database).ran();
+                    self.access.databases.pacer(&self.database).ran();
                     self.bound = !leave_idle(&answers);
                     return Ok(answers);
                 }
@@ -289,7 +294,7 @@
         match tokio::time::timeout(SILENCE, &mut call).await {
             Ok(reply) => reply,
             Err(_) => {
-                self.gateway.look_for_home(home, &self.database);
+                self.access.look_for_home(home, &self.database);
                 call.await
             }
         }
@@ -297,20 +302,20 @@
 
     fn link_is_free(&mut self) {
         if let Some((home, link)) = self.link.take() {
-            self.gateway.fleet.links.give_back(home, link);
+            self.access.fleet.links.give_back(home, link);
         }
     }
 
     fn pass_over(&self, home: SocketAddr) {
-        self.gateway.fleet.homes.passed_over.add(home);
-        self.gateway.fleet.links.close(home);
+        self.access.fleet.homes.passed_over.add(home);
+        self.access.fleet.links.close(home);
     }
 
     /// A link to the first home that can be reached.
     async fn reach_home(&mut self) -> Result<(SocketAddr, Link), CallError> {
         let homes = self.homes.clone();
         for home in homes.iter() {
-            if self.gateway.fleet.homes.passed_over.contains(home)
+            if self.access.fleet.homes.passed_over.contains(home)
                 || Instant::now() >= self.claim.until
             {
                 continue;
@@ -318,7 +323,7 @@
             if self.used_up.iter().any(|(asked, _)| asked == home) {
                 continue;
             }
-            match self.gateway.fleet.links.take(*home).await {
+            match self.access.fleet.links.take(*home).await {
                 Ok(link) => return Ok((*home, link)),
                 Err(_) => self.pass_over(*home),
             }
--- a/crates/dyketally-gateway/src/fleet/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/mod.rs
@@ -1,6 +1,7 @@
 //! The nodes: who runs, what they tell each other, and whose connections they use.
 
 pub mod access;
+pub mod connection;
 pub mod coordinator;
 pub mod forwarding;
 pub mod home;
--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -13,16 +13,15 @@
 use crate::context::Context;
 use crate::counters::StoreCalls;
 use crate::database::connection::Connector;
-use crate::database::target::Target;
 use crate::database::{Databases, SharedDirectory};
 use crate::event::Event;
 use crate::fleet::Fleet;
+use crate::fleet::access::DatabaseAccess;
 use crate::fleet::forwarding::ThroughNodes;
 use crate::ports::{SharedCallerProtocol, SharedDatabaseProtocol};
 use crate::quota::Quotas;
 use crate::session::Sessions;
 use crate::settings::Settings;
-use crate::statement::checkout::OwnConnections;
 use crate::store::feed::Feed;
 use crate::succession::Leadership;
 
@@ -36,6 +35,8 @@
     pub databases: Rc<Databases>,
     /// The other nodes.
     pub fleet: Rc<Fleet>,
+    /// Access to databases.
+    pub access: Rc<DatabaseAccess>,
     /// Copies of the store's keys, as they are passed on between nodes.
     pub feed: Rc<Feed>,
     /// Who leads which group, and whether that can be relied on.
@@ -64,27 +65,19 @@
         let connector = Connector::new(database_protocol, Rc::new(ThroughNodes));
         let databases = Databases::new(cx.clone(), directory, connector, fleet.clone());
         let feed = Feed::new(fleet.clone(), databases.clone());
-        let gateway = Rc::new_cyclic(|gateway: &Weak<Self>| {
-            let connections = OwnConnections::new(gateway.clone());
-            let forwarding = gateway.clone();
-            let find_forwarder = Rc::new(move |target: &Target| {
-                if let Some(gateway) = forwarding.upgrade() {
-                    gateway.find_forwarder(target);
-                }
-            });
-            let leadership =
-                Leadership::new(&databases, &fleet, &feed, connections, find_forwarder);
-            Self {
-                databases,
-                fleet,
-                feed,
-                cx,
-                caller_protocol,
-                leadership,
-                quotas,
-                sessions,
-                unserved_logged: RefCell::default(),
-            }
+        let access = DatabaseAccess::new(fleet.clone(), databases.clone());
+        let leadership = Leadership::new(&access, &feed);
+        let gateway = Rc::new(Self {
+            databases,
+            fleet,
+            access,
+            feed,
+            cx,
+            caller_protocol,
+            leadership,
+            quotas,
+            sessions,
+            unserved_logged: RefCell::default(),
         });
         let watch: Weak<Leadership> = Rc::downgrade(&gateway.leadership);
         gateway.databases.watched_by(watch);
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -16,12 +16,13 @@
 
 use dyketally_store::KeyValueStore;
 use eyre::WrapErr;
+use futures::FutureExt;
 use tokio::net::UdpSocket;
 use tokio::signal::unix::{SignalKind, signal};
 
 use self::listen::bind;
 use crate::event::Event;
-use crate::fleet::forwarding;
+use crate::fleet::forwarding::{self, ServeFeed};
 use crate::fleet::membership::NodeRecord;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
@@ -32,7 +33,7 @@
 };
 use crate::session;
 use crate::settings::Settings;
-use crate::store::feed::ask_seeds;
+use crate::store::feed::{self, ask_seeds};
 use crate::store::keys::Keys;
 use crate::store::liveness::Liveness;
 use crate::store::metered_store::StoreCalls;
@@ -77,7 +78,7 @@
     let socket = UdpSocket::bind(settings.listen.peers)
         .await
         .wrap_err("can't listen on `listen.peers`; choose a free address of this machine")?;
-    let relayed = bind(settings.listen.peers, "listen.peers").await?;
+    let forwarded = bind(settings.listen.peers, "listen.peers").await?;
     let metrics = match settings.listen.metrics {
         Some(address) => Some(bind(address, "listen.metrics").await?),
         None => None,
@@ -123,7 +124,14 @@
     if let Some(listener) = metrics {
         tokio::task::spawn_local(metrics::serve(gateway.clone(), listener));
     }
-    tokio::task::spawn_local(forwarding::serve(gateway.clone(), relayed));
+    let feed = gateway.feed.clone();
+    let serve_feed: ServeFeed =
+        Rc::new(move |stream| feed::serve(feed.clone(), stream).boxed_local());
+    tokio::task::spawn_local(forwarding::serve(
+        gateway.access.clone(),
+        serve_feed,
+        forwarded,
+    ));
     tokio::task::spawn_local(peers.clone().run());
     let contact = ContactKeeper::new(gateway.fleet.clone(), gateway.feed.clone(), peers.clone());
     tokio::task::spawn_local(contact.run());
--- a/crates/dyketally-gateway/src/statement/mod.rs
+++ b/crates/dyketally-gateway/src/statement/mod.rs
@@ -1,6 +1,5 @@
 //! Statements on their way: requests, the choice of a database, reads, writes and transactions.
 
-pub mod checkout;
 pub mod hand_over;
 pub mod reach;
 pub mod read;
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -23,10 +23,11 @@
 use crate::database::connection::Answer;
 use crate::database::target::Target;
 use crate::event::Event;
+use crate::fleet::access::ExchangeError;
+use crate::fleet::connection::DatabaseConnection;
 use crate::gateway::Gateway;
 use crate::measures::tenant_label;
 use crate::ports::DatabaseUser;
-use crate::statement::checkout::{Checkout, Unanswered};
 use crate::statement::hand_over::{HandOver, HandOvers, Unrun};
 
 /// Left of the statement's time when a statement that isn't running is given up.
@@ -297,11 +298,11 @@
     pub async fn exchange(
         &self,
         gateway: &Rc<Gateway>,
-        checkout: &mut Checkout,
+        checkout: &mut DatabaseConnection,
         target: &Target,
         batch: &Batch,
         stage: Stage,
-    ) -> Result<(Vec<Answer>, HandOver), Unanswered> {
+    ) -> Result<(Vec<Answer>, HandOver), ExchangeError> {
         let intent = match stage {
             Stage::First => Intent::first(&self.regions, batch.needs_leader()),
             Stage::Further => Intent::further(batch.needs_leader()),
@@ -309,15 +310,20 @@
         // Leave is asked for behind all waits, since the zone may be evacuated meanwhile.
         checkout.wait_for_turn(batch).await;
         let permission = gateway.databases.may_send(target, &intent);
-        let permission = permission.map_err(|denial| Unanswered::NotRun(failure_kind(denial)))?;
+        let permission =
+            permission.map_err(|denial| ExchangeError::NotRun(failure_kind(denial)))?;
         let hand_over = self.hand_overs.begin();
-        match gateway.exchange(checkout, target, batch, permission).await {
+        match gateway
+            .access
+            .exchange(checkout, target, batch, permission)
+            .await
+        {
             Ok(answers) => Ok((answers, hand_over)),
-            Err(Unanswered::NotRun(kind)) => {
+            Err(ExchangeError::NotRun(kind)) => {
                 hand_over.rejected();
-                Err(Unanswered::NotRun(kind))
+                Err(ExchangeError::NotRun(kind))
             }
-            Err(Unanswered::Lost(broken)) => Err(Unanswered::Lost(broken)),
+            Err(ExchangeError::Lost(broken)) => Err(ExchangeError::Lost(broken)),
         }
     }
 
--- a/crates/dyketally-gateway/src/statement/transaction.rs
+++ b/crates/dyketally-gateway/src/statement/transaction.rs
@@ -15,10 +15,11 @@
 use crate::database::claim::Work;
 use crate::database::connection::{Answer, Broken};
 use crate::database::target::Target;
+use crate::fleet::access::ExchangeError;
+use crate::fleet::connection::DatabaseConnection;
 use crate::gateway::Gateway;
 use crate::ports::OwnStatement;
 use crate::quota::Permit;
-use crate::statement::checkout::{Checkout, Unanswered};
 use crate::statement::request::{Request, Served, Stage};
 use crate::statement::write::RETRY_PAUSE;
 
@@ -40,7 +41,7 @@
 }
 
 struct Bound {
-    checkout: Checkout,
+    checkout: DatabaseConnection,
     target: Target,
     leads: bool,
 }
@@ -311,11 +312,11 @@
         let exchange = request.exchange(gateway, &mut checkout, &target, &batch, Stage::First);
         let (answers, hand_over) = match exchange.await {
             Ok(answered) => answered,
-            Err(Unanswered::NotRun(kind)) => {
+            Err(ExchangeError::NotRun(kind)) => {
                 note_refusal(gateway, &target, kind, after);
                 return First::NotRun(kind);
             }
-            Err(Unanswered::Lost(_)) => return First::Lost,
+            Err(ExchangeError::Lost(_)) => return First::Lost,
         };
         let mut answers = answers.into_iter();
         let Some(begun) = answers.next() else {
--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -10,8 +10,9 @@
 use crate::database::claim::Work;
 use crate::database::connection::{Answer, Broken};
 use crate::database::target::Target;
+use crate::fleet::access::ExchangeError;
+use crate::fleet::connection::DatabaseConnection;
 use crate::gateway::Gateway;
-use crate::statement::checkout::{Checkout, Unanswered};
 use crate::statement::request::{Request, Served, Stage};
 
 /// Pause before a statement that was not run is sent again.
@@ -116,17 +117,19 @@
         request: &Request,
         target: &Target,
         work: Work,
-    ) -> Result<Checkout, FailureKind> {
-        let checkout = self.checkout_for(target, &request.values, request.claim(work));
+    ) -> Result<DatabaseConnection, FailureKind> {
+        let checkout = self
+            .access
+            .connect(target, &request.values, request.claim(work));
         checkout.await
     }
 }
 
-impl From<Unanswered> for Attempt {
-    fn from(unanswered: Unanswered) -> Self {
+impl From<ExchangeError> for Attempt {
+    fn from(unanswered: ExchangeError) -> Self {
         match unanswered {
-            Unanswered::NotRun(kind) => Self::NotRun(kind),
-            Unanswered::Lost(broken) => Self::Lost(broken),
+            ExchangeError::NotRun(kind) => Self::NotRun(kind),
+            ExchangeError::Lost(broken) => Self::Lost(broken),
         }
     }
 }
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -8,8 +8,7 @@
 //!   stop using it, and appoints another.
 //!
 //! Owns what this node found out about leaders, and the rounds of failovers. Relies on `database`, `fleet`
-//! and `store`; asks the layers above for connections ([`own_statements::Connections`]) and the adapter for
-//! appointments ([`PrimaryControl`](crate::ports::PrimaryControl)).
+//! and `store`; asks the adapter for appointments ([`PrimaryControl`](crate::ports::PrimaryControl)).
 
 mod appointment;
 pub mod checks;
@@ -31,12 +30,12 @@
 use self::checks::LeadershipChecks;
 use self::confirm::Confirmations;
 use self::grants::Grants;
-use self::own_statements::{Connections, OwnStatements};
-use self::suspicion::{FindForwarder, Suspicions};
-use crate::database::Databases;
+use self::own_statements::OwnStatements;
+use self::suspicion::Suspicions;
 use crate::database::primary::PrimaryWatch;
 use crate::database::target::Target;
 use crate::fleet::Fleet;
+use crate::fleet::access::DatabaseAccess;
 use crate::store::feed::Feed;
 
 /// What every node does about the leaders of groups.
@@ -55,15 +54,10 @@
 }
 
 impl Leadership {
-    /// The parts of a node that has connections by `connections`.
-    pub fn new(
-        databases: &Rc<Databases>,
-        fleet: &Rc<Fleet>,
-        feed: &Rc<Feed>,
-        connections: Rc<dyn Connections>,
-        find_forwarder: FindForwarder,
-    ) -> Rc<Self> {
-        let statements = OwnStatements::new(databases.clone(), connections);
+    /// The parts of a node that reaches databases by `access`.
+    pub fn new(access: &Rc<DatabaseAccess>, feed: &Rc<Feed>) -> Rc<Self> {
+        let DatabaseAccess { fleet, databases } = &**access;
+        let statements = OwnStatements::new(access.clone());
         let cx = fleet.cx.clone();
         let checks = LeadershipChecks::new(cx, databases.clone(), statements.clone());
         let confirmations = Confirmations::new(
@@ -75,7 +69,7 @@
         Rc::new(Self {
             checks,
             confirmations,
-            suspicions: Suspicions::new(databases.clone(), fleet.clone(), find_forwarder),
+            suspicions: Suspicions::new(access.clone()),
             grants: Grants::new(fleet.clone(), databases.clone(), feed.clone()),
             statements,
             fleet: fleet.clone(),
@@ -92,6 +86,10 @@
         self.suspicions.suspect(target);
     }
 
+    fn report(&self, target: &Target) {
+        self.suspicions.report(target);
+    }
+
     fn look_at_primaries(&self) {
         self.fleet.coordinator.attention.notify_one();
     }
--- a/crates/dyketally-gateway/src/succession/own_statements.rs
+++ b/crates/dyketally-gateway/src/succession/own_statements.rs
@@ -1,21 +1,22 @@
 //! Statements that this node runs at databases on its own behalf: to learn their status, and whether they
 //! lead.
 
+use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-use async_trait::async_trait;
 use dyketally::admission::Patience;
-use dyketally::eligibility::ServingRegions;
+use dyketally::eligibility::{Permission, ServingRegions};
 use dyketally::statement::{DatabaseStatus, FailureKind};
 use tokio::time::Instant;
 
-use crate::database::Databases;
 use crate::database::batch::Batch;
 use crate::database::claim::{Claim, Work};
 use crate::database::connection::Answer;
 use crate::database::pool::OWN_PRIORITY;
 use crate::database::target::Target;
+use crate::fleet::access::DatabaseAccess;
+use crate::fleet::connection::DatabaseConnection;
 use crate::ports::OwnStatement;
 
 /// How long a statement of this node's own may wait behind others for a connection: as long as a
@@ -25,36 +26,39 @@
 /// that the question may take. Not measured.
 const BUSY_PAUSE: Duration = Duration::from_millis(15);
 
-/// What this layer asks of the one that holds connections to databases.
-#[async_trait(?Send)]
-pub trait Connections {
-    /// A connection to `target` by the limits of `claim`; `None` when there is none.
-    async fn connect(&self, target: &Target, claim: Claim) -> Option<Box<dyn OwnConnection>>;
+/// A connection for statements of this node's own. Dropping it closes the connection.
+pub(super) struct OwnConnection {
+    access: Rc<DatabaseAccess>,
+    target: Target,
+    connection: DatabaseConnection,
 }
 
-/// A connection in use. Dropping it closes it.
-#[async_trait(?Send)]
-pub trait OwnConnection {
+impl OwnConnection {
     /// Runs statements of this node's own; the answers, if there are any.
-    async fn run(&mut self, batch: &Batch) -> Option<Vec<Answer>>;
+    pub(super) async fn run(&mut self, batch: &Batch) -> Option<Vec<Answer>> {
+        let target = &self.target;
+        let permission = Permission::control(&target.name);
+        let exchange = self
+            .access
+            .exchange(&mut self.connection, target, batch, permission);
+        exchange.await.ok()
+    }
 
     /// Returns the connection for others to use. It must be outside any transaction.
-    fn give_back(self: Box<Self>);
+    pub(super) fn give_back(self) {
+        self.connection.give_back();
+    }
 }
 
 /// Runs statements of this node's own.
 pub struct OwnStatements {
-    databases: Rc<Databases>,
-    connections: Rc<dyn Connections>,
+    access: Rc<DatabaseAccess>,
 }
 
 impl OwnStatements {
-    /// Statements over `connections`.
-    pub fn new(databases: Rc<Databases>, connections: Rc<dyn Connections>) -> Rc<Self> {
-        Rc::new(Self {
-            databases,
-            connections,
-        })
+    /// Statements over connections by `access`.
+    pub fn new(access: Rc<DatabaseAccess>) -> Rc<Self> {
+        Rc::new(Self { access })
     }
 
     /// A connection for `work`, by `until` at the latest.
@@ -63,7 +67,7 @@
         target: &Target,
         until: Instant,
         work: Work,
-    ) -> Option<Box<dyn OwnConnection>> {
+    ) -> Option<OwnConnection> {
         let claim = Claim {
             priority: OWN_PRIORITY,
             until,
@@ -75,7 +79,13 @@
             user: None,
             regions: ServingRegions::anywhere(),
         };
-        self.connections.connect(target, claim).await
+        let values = BTreeMap::new();
+        let connection = self.access.connect(target, &values, claim).await.ok()?;
+        Some(OwnConnection {
+            access: self.access.clone(),
+            target: target.clone(),
+            connection,
+        })
     }
 
     /// Has a database carry out a statement that it answers with its status.
@@ -97,7 +107,7 @@
         statement: OwnStatement,
         until: Instant,
     ) -> Option<DatabaseStatus> {
-        let protocol = &self.databases.connector.protocol;
+        let protocol = &self.access.databases.connector.protocol;
         loop {
             let mut connection = self.connect(target, until, Work::Control).await?;
             let batch = Batch::own([statement.clone()]);
--- a/crates/dyketally-gateway/src/succession/suspicion.rs
+++ b/crates/dyketally-gateway/src/succession/suspicion.rs
@@ -14,6 +14,7 @@
 use crate::database::target::Target;
 use crate::event::Event;
 use crate::fleet::Fleet;
+use crate::fleet::access::DatabaseAccess;
 use crate::fleet::message::PeerMessage;
 use crate::ports::DatabaseUser;
 
@@ -26,35 +27,28 @@
 /// Probes in a row. Not measured.
 const PROBES_AT_MOST: u32 = 40;
 
-/// Has other nodes forward connections to a database that this one can't reach.
-pub type FindForwarder = Rc<dyn Fn(&Target)>;
-
 /// Probes primaries that fail this node.
 pub struct Suspicions {
     cx: Rc<Context>,
     databases: Rc<Databases>,
     fleet: Rc<Fleet>,
-    find_forwarder: FindForwarder,
+    access: Rc<DatabaseAccess>,
 }
 
 impl Suspicions {
     /// No primary is suspected yet.
-    pub fn new(
-        databases: Rc<Databases>,
-        fleet: Rc<Fleet>,
-        find_forwarder: FindForwarder,
-    ) -> Rc<Self> {
+    pub fn new(access: Rc<DatabaseAccess>) -> Rc<Self> {
         Rc::new(Self {
-            cx: fleet.cx.clone(),
-            databases,
-            fleet,
-            find_forwarder,
+            cx: access.fleet.cx.clone(),
+            databases: access.databases.clone(),
+            fleet: access.fleet.clone(),
+            access,
         })
     }
 
     /// Has other nodes forward connections to `target`.
     pub fn find_forwarder(&self, target: &Target) {
-        (self.find_forwarder)(target);
+        self.access.find_forwarder(target);
     }
 
     /// What this node sees of a database of `group`; `None` when it doesn't know it.
