--- a/Makefile
+++ b/Makefile
@@ -27,7 +27,7 @@
 
 # The gateway's real processes among stand-ins of the users' platform.
 demo-platform: build
-	$(CARGO) test -p dyketally-platform --test path --test faults
+	$(CARGO) test -p dyketally-platform --test path --test faults --test store_outages
 
 # Faults on real processes, judged by the history checker. Logs go to target/faults.
 faults: build
