--- a/crates/dyketally-gateway/src/lib.rs
+++ b/crates/dyketally-gateway/src/lib.rs
@@ -5,9 +5,10 @@
 //! own to the databases, and takes part in electing the one node that replaces lost primaries. All
 //! tasks of a process run on one thread, so state is shared without locks.
 
-mod counters;
-mod database;
-mod event;
+mod context;
+pub mod counters;
+pub mod database;
+pub mod event;
 pub mod fleet;
 mod gateway;
 mod measures;
@@ -19,6 +20,5 @@
 pub mod statement;
 pub mod store;
 mod succession;
-pub mod traffic;
 
 pub use node::{Adapters, run};
