--- /dev/null
+++ b/crates/dyketally-gateway/src/database/connection/mod.rs
@@ -0,0 +1,221 @@
+//! One connection to a database: commands out, whole answers in.
+
+mod answer;
+mod connector;
+mod error;
+mod session_state;
+mod socket;
+
+use std::collections::BTreeMap;
+use std::io;
+
+use bytes::BytesMut;
+use dyketally::statement::{Failure, FailureKind};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+use crate::database::batch::{Batch, Flow, Reset, Step};
+use crate::ports::{DatabaseCommand, DatabaseUser, Reply, SharedDatabaseProtocol};
+
+pub use self::answer::{Answer, leave_idle};
+pub use self::connector::{Connector, Destination, Forwarding, Route};
+pub use self::error::{Broken, OpenError};
+use self::session_state::SessionState;
+pub use self::socket::{is_quiet, prepare_socket};
+
+/// Room for a read from a database, in bytes. Most answers are shorter; not measured.
+const READ_CHUNK: usize = 4_096;
+
+/// A connection that is open to a database.
+pub struct Connection {
+    stream: TcpStream,
+    protocol: SharedDatabaseProtocol,
+    user: DatabaseUser,
+    input: BytesMut,
+    session: SessionState,
+    /// Answers that the database hasn't sent yet. The caller may have stopped waiting for them.
+    owed: usize,
+    /// When it was last given back.
+    pub idle_since: Instant,
+    /// When opening it began.
+    opened: Instant,
+}
+
+impl Connection {
+    async fn open(
+        connector: &Connector,
+        route: Route,
+        to: Destination<'_>,
+        user: DatabaseUser,
+    ) -> Result<Self, OpenError> {
+        let opened = Instant::now();
+        let dialled = connector.dial(route, to).await;
+        let stream = dialled.map_err(|error| OpenError::of_transport(&error))?;
+        prepare_socket(&stream);
+        let mut connection = Self {
+            stream,
+            protocol: connector.protocol.clone(),
+            user: user.clone(),
+            input: BytesMut::new(),
+            session: SessionState::default(),
+            owed: 0,
+            idle_since: Instant::now(),
+            opened,
+        };
+        let open = DatabaseCommand::Open {
+            group: to.group.clone(),
+            user,
+            expected: to.database.clone(),
+        };
+        connection
+            .send(&[open])
+            .await
+            .map_err(|_| OpenError::Refused)?;
+        loop {
+            match connection.next_reply().await {
+                Ok(Reply::Ready { .. }) => return Ok(connection),
+                Ok(Reply::Failed(failure)) => return Err(OpenError::TurnedAway(failure)),
+                Ok(_) => {}
+                Err(_) => return Err(OpenError::Refused),
+            }
+        }
+    }
+
+    /// Runs a batch: one answer to each step, up to the first that failed where the batch says so.
+    ///
+    /// # Errors
+    /// The connection broke, and any of the steps may have run; or it owes answers to statements that
+    /// were given up, and can't be used any more.
+    pub async fn run(&mut self, batch: &Batch) -> Result<Vec<Answer>, Broken> {
+        if self.owed > 0 {
+            return Err(Broken::new("an earlier answer is still owed"));
+        }
+        let (adoption, name) = self.session.adopt(batch.context.as_ref());
+        let answers = match batch.flow {
+            Flow::Together => self.run_together(adoption, &batch.steps, &name).await?,
+            Flow::UntilFailure => self.run_in_turn(adoption, &batch.steps, &name).await?,
+        };
+        let failed = answers.iter().any(|answer| answer.end.is_err());
+        self.session.reset_if(match batch.reset {
+            Reset::Never => false,
+            Reset::AfterFailure => failed,
+            Reset::Always => true,
+        });
+        Ok(answers)
+    }
+
+    async fn run_together(
+        &mut self,
+        adoption: Vec<DatabaseCommand>,
+        steps: &[Step],
+        name: &str,
+    ) -> Result<Vec<Answer>, Broken> {
+        let adopted = adoption.len();
+        let mut commands = adoption;
+        commands.extend(steps.iter().map(|step| step.command(name)));
+        let mut answers = self.exchange(&commands).await?;
+        self.session.check_adoption(&answers, adopted);
+        Ok(answers.split_off(adopted))
+    }
+
+    async fn run_in_turn(
+        &mut self,
+        adoption: Vec<DatabaseCommand>,
+        steps: &[Step],
+        name: &str,
+    ) -> Result<Vec<Answer>, Broken> {
+        let mut answers = Vec::with_capacity(steps.len());
+        let mut adoption = Some(adoption);
+        for step in steps {
+            let adoption = adoption.take().unwrap_or_default();
+            let step = std::slice::from_ref(step);
+            answers.extend(self.run_together(adoption, step, name).await?);
+            if answers.last().is_some_and(|answer| answer.end.is_err()) {
+                break;
+            }
+        }
+        Ok(answers)
+    }
+
+    async fn exchange(&mut self, commands: &[DatabaseCommand]) -> Result<Vec<Answer>, Broken> {
+        self.owed += commands.len();
+        self.send(commands).await.map_err(Broken::new)?;
+        let mut answers = Vec::with_capacity(commands.len());
+        for _ in commands {
+            answers.push(self.answer().await?);
+            self.owed -= 1;
+        }
+        Ok(answers)
+    }
+
+    async fn send(&mut self, commands: &[DatabaseCommand]) -> io::Result<()> {
+        let mut output = BytesMut::new();
+        for command in commands {
+            self.protocol.encode(command, &mut output);
+        }
+        self.stream.write_all(&output).await
+    }
+
+    async fn answer(&mut self) -> Result<Answer, Broken> {
+        let mut rows = Vec::new();
+        let mut end = Err(Failure {
+            kind: FailureKind::Other,
+            message: "the database gave no result".to_owned(),
+        });
+        loop {
+            match self.next_reply().await? {
+                Reply::Row(row) => rows.push(row),
+                Reply::Complete(signature) => end = Ok(signature),
+                Reply::Failed(failure) => end = Err(failure),
+                Reply::Ready { state, position } => {
+                    return Ok(Answer {
+                        rows,
+                        end,
+                        state,
+                        position,
+                    });
+                }
+            }
+        }
+    }
+
+    async fn next_reply(&mut self) -> Result<Reply, Broken> {
+        loop {
+            let decoded = self.protocol.decode(&mut self.input);
+            if let Some(reply) = decoded.map_err(Broken::new)? {
+                return Ok(reply);
+            }
+            self.input.reserve(READ_CHUNK);
+            let read = self.stream.read_buf(&mut self.input).await;
+            if read.map_err(Broken::new)? == 0 {
+                return Err(Broken::new("closed by the database"));
+            }
+        }
+    }
+
+    /// When opening it began.
+    pub fn opened(&self) -> Instant {
+        self.opened
+    }
+
+    /// True when the database closed it.
+    pub fn was_closed(&self) -> bool {
+        socket::was_closed(&self.stream)
+    }
+
+    /// In whose name it is open.
+    pub fn user(&self) -> &DatabaseUser {
+        &self.user
+    }
+
+    /// True when the connection was closed, owes answers, or has bytes that nobody asked for.
+    pub fn is_stale(&self) -> bool {
+        self.owed > 0 || !is_quiet(&self.stream) || !self.input.is_empty()
+    }
+
+    /// How much has to be sent before a session with `values` can use it: 0 for nothing.
+    pub fn distance(&self, values: &BTreeMap<String, String>) -> u32 {
+        self.session.distance(values)
+    }
+}
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -5,6 +5,7 @@
 mod exposition;
 mod listen;
 mod metrics;
+mod nodes_handler;
 mod readiness;
 mod stop;
 mod updates;
@@ -20,12 +21,10 @@
 
 use self::listen::bind;
 use crate::event::Event;
-use crate::fleet::liveness::Liveness;
-use crate::fleet::member::Member;
-use crate::fleet::membership::{Keys, NodeRecord};
+use crate::fleet::forwarding;
+use crate::fleet::membership::NodeRecord;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
-use crate::fleet::relay;
 use crate::gateway::Gateway;
 use crate::ports::{
     PrimaryControl, ReadinessProtocol, SharedCallerProtocol, SharedDatabaseProtocol,
@@ -34,9 +33,13 @@
 use crate::session;
 use crate::settings::Settings;
 use crate::store::feed::ask_seeds;
+use crate::store::keys::Keys;
+use crate::store::liveness::Liveness;
 use crate::store::metered_store::StoreCalls;
-use crate::store::unconfirmed::tell_unconfirmed;
-use crate::succession::duty::DutyKeeper;
+use crate::store::parts::StoreParts;
+use crate::store::registration::Registration;
+use crate::store::unconfirmed::log_unconfirmed;
+use crate::succession::coordinator::CoordinatorKeeper;
 use crate::succession::failover::Failover;
 use crate::succession::fence::FenceKeeper;
 use crate::succession::lead::keep_in_touch;
@@ -93,14 +96,20 @@
     *gateway.fleet.peers.borrow_mut() = Some(peers.clone());
     let prefix = adapters.documents.own_prefix();
     let keys = Rc::new(Keys::new(prefix, own_record(&gateway)));
-    let store = &adapters.store;
-    let member = Member::new(gateway.clone(), store.clone(), keys.clone());
-    let fences = FenceKeeper::new(gateway.clone(), peers.clone(), store.clone(), keys.clone());
-    let liveness = Liveness::new(gateway.clone(), peers.clone(), store.clone(), keys.clone());
-    let duty = DutyKeeper::new(gateway.clone(), store.clone(), keys.clone(), peers.clone());
+    let parts = StoreParts {
+        cx: gateway.cx.clone(),
+        fleet: gateway.fleet.clone(),
+        feed: gateway.feed.clone(),
+        store: adapters.store.clone(),
+        keys,
+    };
+    let registration = Registration::new(parts.clone());
+    let fences = FenceKeeper::new(gateway.clone(), parts.clone(), peers.clone());
+    let liveness = Liveness::new(parts.clone(), peers.clone());
+    let coordinator = CoordinatorKeeper::new(parts.clone(), peers.clone());
     let failover = Failover::new(
         gateway.clone(),
-        duty.clone(),
+        coordinator.clone(),
         peers.clone(),
         adapters.control,
         fences,
@@ -113,25 +122,18 @@
     if let Some(listener) = metrics {
         tokio::task::spawn_local(metrics::serve(gateway.clone(), listener));
     }
-    tokio::task::spawn_local(relay::serve(gateway.clone(), relayed));
+    tokio::task::spawn_local(forwarding::serve(gateway.clone(), relayed));
     tokio::task::spawn_local(peers.clone().run());
     tokio::task::spawn_local(keep_in_touch(gateway.clone(), peers.clone()));
     tokio::task::spawn_local(keep_short_contact(gateway.clone(), peers.clone()));
-    tokio::task::spawn_local(ask_seeds(gateway.clone(), peers.clone()));
+    tokio::task::spawn_local(ask_seeds(gateway.feed.clone(), peers.clone()));
     tokio::task::spawn_local(failover.run());
     tokio::task::spawn_local(liveness.run());
-    let joined = tokio::task::spawn_local(member.clone().run());
-    let on_duty = tokio::task::spawn_local(duty.run());
+    let registered = tokio::task::spawn_local(registration.run());
+    let coordinating = tokio::task::spawn_local(coordinator.run());
     tokio::task::spawn_local(tidy(gateway.clone()));
-    tokio::task::spawn_local(tell_unconfirmed(gateway.clone()));
-    let own_key = keys.node();
-    updates::follow_store(
-        &gateway,
-        &adapters.store,
-        &adapters.documents,
-        &member,
-        own_key,
-    );
+    tokio::task::spawn_local(log_unconfirmed(gateway.cx.clone(), gateway.feed.clone()));
+    updates::watch_store(&gateway, &parts, &adapters.documents);
     let accepting = tokio::task::spawn_local(session::serve_callers(gateway.clone(), callers));
     loop {
         tokio::select! {
@@ -141,7 +143,7 @@
             }),
         }
     }
-    let left = futures::future::join(joined, on_duty);
+    let left = futures::future::join(registered, coordinating);
     stop::stop(&gateway, left, accepting).await;
     peers.broadcast(&PeerMessage::Ends {
         node: gateway.cx.settings.node.name.clone(),
