--- a/crates/dyketally-gateway/src/succession/appointment.rs
+++ b/crates/dyketally-gateway/src/succession/appointment.rs
@@ -47,7 +47,7 @@
                 self.step(
                     group,
                     "no token",
-                    "the duty could not be renewed".to_owned(),
+                    "the coordinator's lease could not be renewed".to_owned(),
                 );
                 return otherwise;
             };
--- a/crates/dyketally-gateway/src/succession/coordinator.rs
+++ b/crates/dyketally-gateway/src/succession/coordinator.rs
@@ -230,7 +230,7 @@
                     lease: Some(lease),
                 });
             }
-            Ok(_) => self.resign("the duty's key is gone"),
+            Ok(_) => self.resign("the coordinator's key is gone"),
             // Dropped: the check is repeated.
             Err(_) => self.try_again_later(),
         }
--- a/crates/dyketally-gateway/src/succession/replacement.rs
+++ b/crates/dyketally-gateway/src/succession/replacement.rs
@@ -111,7 +111,7 @@
         }
         // Nobody could be appointed without a token, nor the old primary again.
         if behind == Behind::Return && self.token_for(group, &successor).await.is_none() {
-            self.step(group, "put off", "the duty could not be renewed".to_owned());
+            self.step(group, "put off", "the coordinator's lease could not be renewed".to_owned());
             return Handover::PutOff;
         }
         let Some(position) = self.step_down(old, surveyed.newest_term + 1).await else {
