--- a/crates/dyketally-gateway/src/store/keys.rs
+++ b/crates/dyketally-gateway/src/store/keys.rs
@@ -80,7 +80,8 @@
 
     /// Puts this node's record under `key`, for as long as `lease` runs.
     pub fn put(&self, key: Key, lease: LeaseId) -> Operation {
-        let value = serde_json::to_vec(&self.record).unwrap_or_default();
+        let value = serde_json::to_vec(&self.record);
+        let value = value.expect("a record of names, numbers and an address has a JSON form");
         Operation::Put(PutRequest {
             key,
             value: Bytes::from(value),
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -4,7 +4,7 @@
 //! - [`suspicion`]: primaries that fail this node are probed and reported to the failover coordinator.
 //! - [`coordinator`], [`contact`], [`grants`]: which node is the coordinator, and whether a node would
 //!   receive the fence of a primary that is replaced.
-//! - [`failover`] and [`fence`], on the coordinator only: decides that a primary is lost, has all nodes
+//! - [`failover`] (with the rules in `cause`) and [`fence`], on the coordinator only: decides that a primary is lost, has all nodes
 //!   stop using it, and appoints another.
 //!
 //! Owns what this node found out about leaders, and the rounds of failovers. Relies on `database`, `fleet`
@@ -12,6 +12,7 @@
 //! appointments ([`PrimaryControl`](crate::ports::PrimaryControl)).
 
 mod appointment;
+mod cause;
 pub mod checks;
 pub mod confirm;
 pub mod contact;
--- a/crates/dyketally-gateway/src/succession/replacement.rs
+++ b/crates/dyketally-gateway/src/succession/replacement.rs
@@ -13,7 +13,8 @@
 use crate::database::target::Target;
 use crate::ports::OwnStatement;
 use crate::succession::appointment::Appointed;
-use crate::succession::failover::{Cause, Failover, NO_PRIMARY_GRACE, RETRY_PAUSE};
+use crate::succession::cause::{Cause, NO_PRIMARY_GRACE};
+use crate::succession::failover::{Failover, RETRY_PAUSE};
 use crate::succession::survey::{STATUS_LIMIT, Survey};
 
 /// How long the databases' positions count as current. Not measured.
@@ -111,7 +112,11 @@
         }
         // Nobody could be appointed without a token, nor the old primary again.
         if behind == Behind::Return && self.token_for(group, &successor).await.is_none() {
-            self.step(group, "put off", "the coordinator's lease could not be renewed".to_owned());
+            self.step(
+                group,
+                "put off",
+                "the coordinator's lease could not be renewed".to_owned(),
+            );
             return Handover::PutOff;
         }
         let Some(position) = self.step_down(old, surveyed.newest_term + 1).await else {
