--- /dev/null
+++ b/crates/dyketally-gateway/src/fleet/peer/requests.rs
@@ -0,0 +1,189 @@
+//! What happens with the datagrams of other nodes.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_trait::async_trait;
+use dyketally::failover::Evidence;
+use dyketally::identifiers::{DatabaseName, GroupName, TenantName, ZoneName};
+use dyketally::quota::{Decision, Role};
+use tokio::time::Instant;
+
+use super::{FenceReply, Peers, Vote};
+use crate::fleet::message::PeerMessage;
+
+/// What this layer asks of higher ones to reply to other nodes.
+#[async_trait(?Send)]
+pub trait PeerRequests {
+    /// Some node suspects a primary.
+    fn suspected(&self, group: GroupName, database: DatabaseName);
+
+    /// What this node sees of a database of `group`; `None` when it doesn't know it.
+    async fn evidence(&self, group: &GroupName, database: &DatabaseName) -> Option<Evidence>;
+
+    /// The reply to a question for the coordinator's grant.
+    fn grant_reply(&self, round: u64) -> PeerMessage;
+
+    /// Another node replied to a question for the coordinator's grant, with the ages of its contacts in
+    /// milliseconds. The fences that stand there were recorded before.
+    fn receive_grant(&self, round: u64, granted_ms: Option<u32>, majority_ms: Option<u32>);
+
+    /// The relays that a node of a zone may follow.
+    fn relays_for(&self, zone: &ZoneName) -> Vec<SocketAddr>;
+
+    /// Decides in `role` on a question for `wanted` operations of `tenant`; `None` when it has no quota.
+    fn account(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision>;
+}
+
+impl Peers {
+    pub(super) fn receive(
+        self: &Rc<Self>,
+        requests: &Rc<dyn PeerRequests>,
+        from: SocketAddr,
+        message: PeerMessage,
+    ) {
+        match message {
+            PeerMessage::Suspect { group, database } => requests.suspected(group, database),
+            PeerMessage::Poll {
+                poll,
+                group,
+                database,
+            } => self.vote(requests, from, poll, group, database),
+            PeerMessage::Vote {
+                poll,
+                evidence,
+                store_lost,
+            } => {
+                let vote = Vote {
+                    evidence,
+                    store_lost,
+                    from,
+                };
+                self.polls.deliver(poll, vote);
+            }
+            PeerMessage::Fence {
+                round,
+                database,
+                id,
+                suspected_ms,
+            } => {
+                let suspected = Duration::from_millis(suspected_ms.into());
+                let contested = !self.access.databases.fence(&database, id, suspected);
+                let heard = self.heard();
+                let reply = PeerMessage::FenceReply {
+                    round,
+                    contested,
+                    heard,
+                };
+                self.send(from, &reply);
+            }
+            PeerMessage::FenceReply {
+                round,
+                contested,
+                heard,
+            } => {
+                let reply = FenceReply {
+                    from,
+                    contested,
+                    heard,
+                };
+                self.fence_rounds.deliver(round, reply);
+            }
+            PeerMessage::LiftFence { database, id } => {
+                self.access.databases.lift_round(&database, id)
+            }
+            PeerMessage::AreYouThere { round } => {
+                self.asked_by.borrow_mut().insert(from, Instant::now());
+                let fenced = self.access.databases.standing_fences();
+                self.send(from, &PeerMessage::Here { round, fenced });
+            }
+            PeerMessage::Here { round, fenced } => {
+                self.access
+                    .databases
+                    .heard_of_fences(fenced, "a sign of life");
+                self.life_rounds.deliver(round, from);
+            }
+            PeerMessage::ContactAsked { round } => {
+                let told = requests.grant_reply(round);
+                self.send(from, &told);
+            }
+            PeerMessage::ContactTold {
+                round,
+                granted_ms,
+                majority_ms,
+                fenced,
+            } => {
+                self.access
+                    .databases
+                    .heard_of_fences(fenced, "a reply about contact");
+                requests.receive_grant(round, granted_ms, majority_ms);
+            }
+            PeerMessage::HeartbeatAsked => self.send(from, &PeerMessage::Heartbeat),
+            PeerMessage::Heartbeat => {
+                if let Some(heartbeats) = self.heartbeats.borrow().as_ref() {
+                    // The process may be about to stop.
+                    let _ = heartbeats.send(from);
+                }
+            }
+            PeerMessage::RelaysAsked { zone } => {
+                let relays = requests.relays_for(&zone);
+                self.send(from, &PeerMessage::Relays { relays });
+            }
+            PeerMessage::Relays { relays } => self.access.fleet.membership.relays_named(relays),
+            PeerMessage::PermitAsked {
+                round,
+                tenant,
+                wanted,
+                role,
+            } => {
+                if let Some(decision) = requests.account(&tenant, wanted, role) {
+                    self.send(from, &PeerMessage::PermitDecided { round, decision });
+                }
+            }
+            PeerMessage::PermitDecided { round, decision } => {
+                self.permit_rounds.deliver(round, decision);
+            }
+            PeerMessage::ReachAsked { round } => {
+                self.send(from, &PeerMessage::ReachReply { round });
+            }
+            PeerMessage::ReachReply { round } => self.reach_rounds.deliver(round, ()),
+            PeerMessage::Ends { node } => self.access.fleet.membership.ended(&node),
+            PeerMessage::HasDuty { record } => {
+                self.access.fleet.coordinator.receive_announcement(record)
+            }
+            PeerMessage::Leads { database, .. } => {
+                let mut directory = self.access.databases.directory.borrow_mut();
+                directory.acted_as_primary(&database);
+                drop(directory);
+                self.access.databases.lift_fence(&database);
+            }
+        }
+    }
+
+    /// Replies to a poll with what this node sees of a primary, once it has found out.
+    fn vote(
+        self: &Rc<Self>,
+        requests: &Rc<dyn PeerRequests>,
+        to: SocketAddr,
+        poll: u64,
+        group: GroupName,
+        database: DatabaseName,
+    ) {
+        self.access.fleet.cx.store_health.check.notify_one();
+        let peers = self.clone();
+        let requests = requests.clone();
+        tokio::task::spawn_local(async move {
+            let evidence = requests.evidence(&group, &database).await;
+            let store_lost = peers.access.fleet.cx.store_health.is_lost();
+            if let Some(evidence) = evidence {
+                let vote = PeerMessage::Vote {
+                    poll,
+                    evidence,
+                    store_lost,
+                };
+                peers.send(to, &vote);
+            }
+        });
+    }
+}
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -6,6 +6,7 @@
 mod listen;
 mod metrics;
 mod nodes_handler;
+mod peer_requests;
 mod readiness;
 mod stop;
 mod updates;
@@ -21,6 +22,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use self::listen::bind;
+use self::peer_requests::RequestHandler;
 use crate::event::Event;
 use crate::fleet::forwarding::{self, ServeFeed};
 use crate::fleet::membership::NodeRecord;
@@ -92,7 +94,7 @@
     gateway.cx.events.write(&Event::Started {
         node: gateway.cx.settings.node.name.as_str(),
     });
-    let peers = Peers::new(gateway.clone(), socket);
+    let peers = Peers::new(gateway.access.clone(), socket);
     *gateway.fleet.peers.borrow_mut() = Some(peers.clone());
     let prefix = adapters.documents.own_prefix();
     let keys = Rc::new(Keys::new(prefix, own_record(&gateway)));
@@ -132,7 +134,8 @@
         serve_feed,
         forwarded,
     ));
-    tokio::task::spawn_local(peers.clone().run());
+    let requests = Rc::new(RequestHandler(gateway.clone()));
+    tokio::task::spawn_local(peers.clone().run(requests));
     let contact = ContactKeeper::new(gateway.fleet.clone(), gateway.feed.clone(), peers.clone());
     tokio::task::spawn_local(contact.run());
     tokio::task::spawn_local(gateway.leadership.grants.clone().run(peers.clone()));
