--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -4,8 +4,8 @@
 //! - [`suspicion`]: primaries that fail this node are probed and reported to the failover coordinator.
 //! - [`coordinator`], [`contact`], [`grants`]: which node is the coordinator, and whether a node would
 //!   receive the fence of a primary that is replaced.
-//! - [`failover`] (with the rules in `cause`) and [`fence`], on the coordinator only: decides that a primary is lost, has all nodes
-//!   stop using it, and appoints another.
+//! - [`failover`] (with the reasons in `cause`) and [`fence`], on the coordinator only: decides that a
+//!   primary is replaced, has all nodes stop using it, and appoints another.
 //!
 //! Owns what this node found out about leaders, and the rounds of failovers. Relies on `database`, `fleet`
 //! and `store`; asks the adapter for appointments ([`PrimaryControl`](crate::ports::PrimaryControl)).
