--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -13,11 +13,10 @@
 use crate::context::Context;
 use crate::counters::StoreCalls;
 use crate::database::connection::Connector;
-use crate::database::primary::PrimaryWatch;
-use crate::database::target::Target;
 use crate::database::{Databases, SharedDirectory};
 use crate::event::Event;
 use crate::fleet::Fleet;
+use crate::fleet::access::DatabaseAccess;
 use crate::fleet::forwarding::ThroughNodes;
 use crate::ports::{SharedCallerProtocol, SharedDatabaseProtocol};
 use crate::quota::Quotas;
@@ -36,10 +35,12 @@
     pub databases: Rc<Databases>,
     /// The other nodes.
     pub fleet: Rc<Fleet>,
+    /// Access to databases.
+    pub access: Rc<DatabaseAccess>,
     /// Copies of the store's keys, as they are passed on between nodes.
     pub feed: Rc<Feed>,
-    /// Who leads which group, as far as this node found out itself.
-    pub leadership: Leadership,
+    /// Who leads which group, and whether that can be relied on.
+    pub leadership: Rc<Leadership>,
     /// Quotas of tenants.
     pub quotas: Quotas,
     /// Sessions that are open, and how many there may be.
@@ -64,18 +65,21 @@
         let connector = Connector::new(database_protocol, Rc::new(ThroughNodes));
         let databases = Databases::new(cx.clone(), directory, connector, fleet.clone());
         let feed = Feed::new(fleet.clone(), databases.clone());
+        let access = DatabaseAccess::new(fleet.clone(), databases.clone());
+        let leadership = Leadership::new(&access, &feed);
         let gateway = Rc::new(Self {
             databases,
             fleet,
+            access,
             feed,
             cx,
             caller_protocol,
-            leadership: Leadership::default(),
+            leadership,
             quotas,
             sessions,
             unserved_logged: RefCell::default(),
         });
-        let watch: Weak<Self> = Rc::downgrade(&gateway);
+        let watch: Weak<Leadership> = Rc::downgrade(&gateway.leadership);
         gateway.databases.watched_by(watch);
         gateway
     }
@@ -150,17 +154,3 @@
         }
     }
 }
-
-impl PrimaryWatch for Gateway {
-    fn primary_is_unconfirmed(&self, group: &GroupName) -> bool {
-        self.is_unclear(group)
-    }
-
-    fn suspect(self: Rc<Self>, target: &Target) {
-        self.suspect_primary(target);
-    }
-
-    fn look_at_primaries(&self) {
-        self.fleet.coordinator.attention.notify_one();
-    }
-}
