--- a/crates/dyketally-lab/src/lib.rs
+++ b/crates/dyketally-lab/src/lib.rs
@@ -9,4 +9,3 @@
 pub mod network;
 pub mod platform;
 pub mod report;
-pub mod scale;
--- a/crates/dyketally-lab/src/main.rs
+++ b/crates/dyketally-lab/src/main.rs
@@ -1,9 +1,9 @@
 //! `dyketally-lab`: the command line of the lab.
 
 use clap::{Parser, Subcommand};
-use dyketally_lab::{database, demo, experiment, faults, load, network, platform, report, scale};
+use dyketally_lab::{database, demo, experiment, faults, load, network, platform, report};
 
-/// Stand-ins, demo, load, fault cases, experiments and the scale run of dyketally.
+/// Stand-ins, demo, load, fault cases and experiments of dyketally.
 #[derive(Debug, Parser)]
 #[command(name = "dyketally-lab", version)]
 struct CommandLine {
@@ -23,8 +23,6 @@
     Faults(faults::Arguments),
     /// One experiment on the users' measures.
     Experiment(experiment::Arguments),
-    /// Hollow nodes beside real ones at the size to design for.
-    Scale(scale::Arguments),
     /// The whole path as processes.
     Demo(demo::Arguments),
     /// Offer load; report latency, rate and memory.
@@ -41,7 +39,6 @@
         Command::Network(arguments) => network::run(arguments).await,
         Command::Faults(arguments) => faults::run(arguments).await,
         Command::Experiment(arguments) => experiment::run(arguments).await,
-        Command::Scale(arguments) => scale::run(arguments).await,
         Command::Demo(arguments) => demo::run(arguments).await,
         Command::Load(arguments) => load::run(arguments).await,
         Command::Report(arguments) => report::run(arguments).await,
--- a/crates/dyketally-proxy/src/link/mod.rs
+++ b/crates/dyketally-proxy/src/link/mod.rs
@@ -10,7 +10,7 @@
 use dyketally_protocol::{EdgeMessage, FrameError, HomeMessage, LinkCodec, PROTOCOL_VERSION};
 
 pub use client::LinkPool;
-pub use pull::{pull_configuration, serve_pulls};
+pub use pull::pull_configuration;
 pub use server::{LinkServer, serve_links};
 
 /// The edge's end of a link.
--- a/crates/dyketally-proxy/src/link/pull.rs
+++ b/crates/dyketally-proxy/src/link/pull.rs
@@ -8,14 +8,11 @@
 
 use dyketally::configuration::sync::{PullReply, PullRequest};
 use dyketally::identifiers::NodeName;
-use dyketally_protocol::{EdgeMessage, Hello, HomeMessage, PROTOCOL_VERSION};
+use dyketally_protocol::{EdgeMessage, HomeMessage};
 use futures::{SinkExt, StreamExt};
-use tokio::net::{TcpListener, TcpStream};
-use tokio_util::codec::Framed;
-use tokio_util::sync::CancellationToken;
 
 use super::client::open;
-use super::{HANDSHAKE_TIMEOUT, HomeCodec, LinkError, check_version};
+use super::{HANDSHAKE_TIMEOUT, LinkError};
 use crate::stores::dissemination::Dissemination;
 
 /// Asks the node at `address` for what is missing.
@@ -45,60 +42,6 @@
     }
 }
 
-/// Answers pulls and nothing else until `stop` is cancelled: for a node without homes.
-pub async fn serve_pulls(
-    listener: TcpListener,
-    own: NodeName,
-    configuration: Dissemination,
-    stop: CancellationToken,
-) {
-    loop {
-        let accepted = tokio::select! {
-            accepted = listener.accept() => accepted,
-            () = stop.cancelled() => return,
-        };
-        let Ok((stream, address)) = accepted else {
-            tokio::time::sleep(crate::edge::ACCEPT_PAUSE).await;
-            continue;
-        };
-        let served = serve(stream, own.clone(), configuration.clone());
-        tokio::spawn(async move {
-            match tokio::time::timeout(HANDSHAKE_TIMEOUT, served).await {
-                Ok(Ok(())) => {}
-                Ok(Err(error)) => log::debug!("pull from {address} ended: {error}"),
-                Err(_) => log::debug!("pull from {address} took too long"),
-            }
-        });
-    }
-}
-
-async fn serve(
-    stream: TcpStream,
-    own: NodeName,
-    configuration: Dissemination,
-) -> Result<(), LinkError> {
-    stream.set_nodelay(true)?;
-    let mut frames = Framed::new(stream, HomeCodec::default());
-    let hello = match frames.next().await.ok_or(LinkError::Closed)?? {
-        EdgeMessage::Hello(hello) => hello,
-        _ => return Err(LinkError::NoHello),
-    };
-    let answer = Hello {
-        version: PROTOCOL_VERSION,
-        node: own,
-    };
-    frames.send(HomeMessage::Hello(answer)).await?;
-    check_version(&hello.node, hello.version)?;
-    while let Some(message) = frames.next().await {
-        let EdgeMessage::PullConfiguration(request) = message? else {
-            return Err(LinkError::NoHello);
-        };
-        let reply = answer_pull(Some(&configuration), request).await?;
-        frames.send(HomeMessage::Configuration(reply)).await?;
-    }
-    Ok(())
-}
-
 /// The answer of a node whose configuration, if others may pull it, is `configuration`.
 pub(super) async fn answer_pull(
     configuration: Option<&Dissemination>,
--- a/crates/dyketally-proxy/src/peers/driver.rs
+++ b/crates/dyketally-proxy/src/peers/driver.rs
@@ -9,12 +9,12 @@
 use dyketally::membership::{Event, LONGEST_DATAGRAM, Membership, Message, Output, encode};
 use dyketally::policy::Revision;
 use dyketally::time::Timestamp;
+use tokio::net::UdpSocket;
 use tokio::sync::{broadcast, mpsc, oneshot, watch};
 
 use crate::clock;
 
 use super::counters::PeersCounters;
-use super::socket::DatagramSocket;
 use super::view::View;
 
 /// Least time between two views that differ in nothing but revisions.
@@ -41,8 +41,8 @@
 }
 
 /// The task's state.
-pub(super) struct Driver<Socket> {
-    pub(super) socket: Socket,
+pub(super) struct Driver {
+    pub(super) socket: UdpSocket,
     pub(super) membership: Membership,
     pub(super) routes: HashMap<SocketAddr, SocketAddr>,
     pub(super) commands: mpsc::Receiver<Command>,
@@ -55,7 +55,7 @@
     pub(super) published_at: Timestamp,
 }
 
-impl<Socket: DatagramSocket> Driver<Socket> {
+impl Driver {
     /// Runs until told to end.
     pub(super) async fn run(mut self) {
         // One byte more than allowed, so that a longer datagram is seen to be too long.
@@ -63,7 +63,7 @@
         loop {
             let deadline = self.membership.next_deadline();
             let step = tokio::select! {
-                received = self.socket.receive(&mut buffer) => {
+                received = self.socket.recv_from(&mut buffer) => {
                     self.received(received, &buffer).await
                 }
                 command = self.commands.recv() => self.obey(command),
@@ -142,7 +142,7 @@
         let to = self.routes.get(&to).copied().unwrap_or(to);
         let sent = encode(message)
             .map_err(io::Error::other)
-            .and_then(|datagram| self.socket.try_send(&datagram, to));
+            .and_then(|datagram| self.socket.try_send_to(&datagram, to));
         self.count(|counters| match sent {
             Ok(length) => counters.bytes_sent += length as u64,
             Err(_) => counters.send_failures += 1,
--- a/crates/dyketally-proxy/src/peers/handle.rs
+++ b/crates/dyketally-proxy/src/peers/handle.rs
@@ -13,7 +13,6 @@
 use super::counters::PeersCounters;
 use super::driver::{Command, Driver};
 use super::settings::{PeersError, PeersSettings};
-use super::socket::DatagramSocket;
 use super::view::View;
 
 /// Events that a slow receiver may be behind; it then misses the oldest.
@@ -36,19 +35,6 @@
         let address = settings.listen;
         let bind_error = |source| PeersError::Bind { address, source };
         let socket = UdpSocket::bind(address).await.map_err(bind_error)?;
-        Self::start_on(socket, settings)
-    }
-
-    /// Starts the task on a socket that is bound already. Must be called within a tokio runtime.
-    ///
-    /// # Errors
-    /// The socket has no address, or the settings of membership can't work.
-    pub fn start_on(
-        socket: impl DatagramSocket,
-        settings: PeersSettings,
-    ) -> Result<PeersHandle, PeersError> {
-        let address = settings.listen;
-        let bind_error = |source| PeersError::Bind { address, source };
         let bound = socket.local_addr().map_err(bind_error)?;
         let own = record(&settings, bound);
         let advertised = own.addresses.membership;
--- a/crates/dyketally-proxy/src/peers/mod.rs
+++ b/crates/dyketally-proxy/src/peers/mod.rs
@@ -6,12 +6,10 @@
 mod driver;
 mod handle;
 mod settings;
-mod socket;
 mod view;
 
 pub use carrier::Carrier;
 pub use counters::PeersCounters;
 pub use handle::{Peers, PeersHandle};
 pub use settings::{PeersError, PeersSettings};
-pub use socket::DatagramSocket;
 pub use view::{LiveNode, LiveNodes, View};
--- a/crates/dyketally/src/lib.rs
+++ b/crates/dyketally/src/lib.rs
@@ -1,8 +1,8 @@
 //! Coordination parts of the dyketally database proxy.
 //!
 //! Every part is a state machine without I/O and without a clock: callers pass in messages and
-//! the current [`time::Timestamp`], and get decisions back. The daemon, the stateful fuzzers and
-//! the hollow nodes of the scale run drive the very same code.
+//! the current [`time::Timestamp`], and get decisions back. The daemons and the stateful fuzzers
+//! drive the very same code.
 
 pub mod admission;
 pub mod capacity;
