--- a/crates/dyketally-lab/src/bench/group.rs
+++ b/crates/dyketally-lab/src/bench/group.rs
@@ -77,23 +77,16 @@
     /// # Errors
     /// When they have not in time.
     pub async fn caught_up(&self) -> eyre::Result<()> {
-        self.caught_up_within_entries(0).await
-    }
-
-    /// Waits until the logs of all members end in one term, at most this many entries apart.
-    ///
-    /// # Errors
-    /// When they don't in time.
-    pub async fn caught_up_within_entries(&self, entries: u64) -> eyre::Result<()> {
         let what = format!("replicas of {} to catch up", self.name);
         poll_until(&what, GROUP_LIMIT, || async {
             let states = self.states().await;
             let first = states.first()?;
-            let is_near = |state: &DatabaseState| {
-                let distance = state.log_offset.abs_diff(first.log_offset);
-                state.log_term == first.log_term && distance <= entries && !state.joining
+            let has_same_log = |state: &DatabaseState| {
+                state.log_term == first.log_term
+                    && state.log_offset == first.log_offset
+                    && !state.joining
             };
-            let all = states.len() == self.members.len() && states.iter().all(is_near);
+            let all = states.len() == self.members.len() && states.iter().all(has_same_log);
             all.then_some(())
         })
         .await?;
--- a/crates/dyketally-lab/src/bench/mod.rs
+++ b/crates/dyketally-lab/src/bench/mod.rs
@@ -5,7 +5,6 @@
 mod client;
 mod database;
 mod documents;
-mod finale;
 mod group;
 mod operator;
 mod plan;
@@ -26,7 +25,6 @@
 pub use documents::{
     TEMPLATE_NAME, configuration_file, group_document, template_document, tenant_document,
 };
-pub use finale::record_final_rows;
 pub use group::{Group, Member};
 pub use operator::{CONFLICT, CommandResult, Operator};
 pub use plan::{CALLERS, DatabasePlan, PLATFORM, Plan, ProxyPlan, Routes};
--- a/crates/dyketally-lab/src/bench/recorder.rs
+++ b/crates/dyketally-lab/src/bench/recorder.rs
@@ -80,14 +80,6 @@
 }
 
 impl Recorder {
-    /// A recorder whose times compare with those of `other`.
-    pub fn with_clock_of(other: &Recorder) -> Self {
-        Self {
-            started: other.started,
-            record: Mutex::default(),
-        }
-    }
-
     /// Time since the recorder's start.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
--- a/crates/dyketally-lab/src/lib.rs
+++ b/crates/dyketally-lab/src/lib.rs
@@ -3,9 +3,7 @@
 pub mod bench;
 pub mod database;
 pub mod demo;
-pub mod experiment;
 pub mod faults;
 pub mod load;
 pub mod network;
 pub mod platform;
-pub mod report;
--- a/crates/dyketally-lab/src/load/idle.rs
+++ b/crates/dyketally-lab/src/load/idle.rs
@@ -7,9 +7,9 @@
 use tokio::time::sleep;
 
 use crate::bench::{DATABASE, SessionClient, Topology};
-use crate::experiment::{Figure, Goal};
 
 use super::TENANT;
+use super::result::{Figure, Goal};
 
 /// Connections that are opened at one time.
 const OPENED_AT_ONCE: usize = 64;
--- a/crates/dyketally-lab/src/load/latency.rs
+++ b/crates/dyketally-lab/src/load/latency.rs
@@ -2,8 +2,7 @@
 
 use std::time::Instant;
 
-use crate::experiment::{Figure, Goal, Line, Plot, Point, quantile};
-
+use super::result::{Figure, Goal, Line, Plot, Point, quantile};
 use super::target::{Reader, Target, TargetKind};
 
 /// Reads of one target before the next one's turn.
--- a/crates/dyketally-lab/src/load/mod.rs
+++ b/crates/dyketally-lab/src/load/mod.rs
@@ -3,14 +3,21 @@
 
 mod idle;
 mod latency;
+mod progress;
 mod rate;
+mod result;
+mod table;
 mod target;
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use crate::bench::{DatabaseProperties, Site, Tenant, Topology};
-use crate::experiment::{ExperimentResult, Figure, Plot, Progress, figure_table, now_seconds};
+
+pub use result::{Figure, Goal, Line, LoadResult, Plot, Point, quantile};
+
+use progress::{Progress, now_seconds};
+use table::figure_table;
 
 /// Arguments of this command.
 #[derive(Clone, Debug, clap::Args)]
@@ -70,7 +77,7 @@
     figures: Vec<Figure>,
     plot: Plot,
 ) -> eyre::Result<()> {
-    let result = ExperimentResult {
+    let result = LoadResult {
         name: String::from("load"),
         summary: String::from(
             "Point reads of a prepared statement through proxies and straight to a database, on \
--- a/crates/dyketally-lab/src/experiment/progress.rs
+++ b/crates/dyketally-lab/src/load/progress.rs
@@ -1,4 +1,4 @@
-//! The progress line of a running experiment.
+//! The progress line of a run.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -6,14 +6,14 @@
 
 const TEMPLATE: &str = "{prefix} [{bar:30}] {pos}/{len} {elapsed} {msg}";
 
-/// Shows how far an experiment is. Nothing is shown where there is no terminal.
+/// Shows how far a run is. Nothing is shown where there is no terminal.
 #[derive(Clone, Debug)]
 pub struct Progress {
     bar: ProgressBar,
 }
 
 impl Progress {
-    /// Progress of the experiment `name` in this many steps.
+    /// Progress of the run `name` in this many steps.
     pub fn new(name: &str, steps: u64) -> Self {
         let bar = ProgressBar::new(steps);
         if let Ok(style) = ProgressStyle::with_template(TEMPLATE) {
--- a/crates/dyketally-lab/src/load/rate.rs
+++ b/crates/dyketally-lab/src/load/rate.rs
@@ -6,8 +6,8 @@
 use tokio::task::JoinSet;
 
 use crate::bench::Topology;
-use crate::experiment::Figure;
 
+use super::result::Figure;
 use super::target::{Reader, Target, TargetKind};
 
 /// Clock ticks of processor time in a second.
--- a/crates/dyketally-lab/src/experiment/result.rs
+++ b/crates/dyketally-lab/src/load/result.rs
@@ -1,4 +1,4 @@
-//! The result of an experiment, as it is kept in a file.
+//! The result of a run, as it is kept in a file: figures with their goals, and a plot's points.
 
 use std::path::{Path, PathBuf};
 
@@ -7,10 +7,10 @@
 
 use crate::bench::Site;
 
-/// Result of one experiment.
+/// Result of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ExperimentResult {
-    /// Name of the experiment.
+pub struct LoadResult {
+    /// Name of the result, and of its file.
     pub name: String,
     /// What it shows, in one sentence.
     pub summary: String,
@@ -144,7 +144,7 @@
     sorted.get(place).copied()
 }
 
-impl ExperimentResult {
+impl LoadResult {
     /// Writes the result to `<name>.json` in a directory; gives the path.
     ///
     /// # Errors
@@ -156,14 +156,4 @@
             .wrap_err_with(|| format!("{} can't be written", path.display()))?;
         Ok(path)
     }
-
-    /// Reads a result.
-    ///
-    /// # Errors
-    /// When the file can't be read or is not a result.
-    pub fn read(path: &Path) -> eyre::Result<Self> {
-        let text = std::fs::read_to_string(path)?;
-        serde_json::from_str(&text)
-            .wrap_err_with(|| format!("{} is not a result of an experiment", path.display()))
-    }
 }
--- a/crates/dyketally-lab/src/main.rs
+++ b/crates/dyketally-lab/src/main.rs
@@ -1,9 +1,9 @@
 //! `dyketally-lab`: the command line of the lab.
 
 use clap::{Parser, Subcommand};
-use dyketally_lab::{database, demo, experiment, faults, load, network, platform, report};
+use dyketally_lab::{database, demo, faults, load, network, platform};
 
-/// Stand-ins, demo, load, fault cases and experiments of dyketally.
+/// Stand-ins, demo, load and fault cases of dyketally.
 #[derive(Debug, Parser)]
 #[command(name = "dyketally-lab", version)]
 struct CommandLine {
@@ -21,14 +21,10 @@
     Network(network::Arguments),
     /// Fault cases on real processes, checked by the history checker.
     Faults(faults::Arguments),
-    /// One experiment on the users' measures.
-    Experiment(experiment::Arguments),
     /// The whole path as processes.
     Demo(demo::Arguments),
     /// Offer load; report latency, rate and memory.
     Load(load::Arguments),
-    /// One page of all experiment results.
-    Report(report::Arguments),
 }
 
 #[tokio::main]
@@ -38,9 +34,7 @@
         Command::Platform(arguments) => platform::run(arguments).await,
         Command::Network(arguments) => network::run(arguments).await,
         Command::Faults(arguments) => faults::run(arguments).await,
-        Command::Experiment(arguments) => experiment::run(arguments).await,
         Command::Demo(arguments) => demo::run(arguments).await,
         Command::Load(arguments) => load::run(arguments).await,
-        Command::Report(arguments) => report::run(arguments).await,
     }
 }
