--- a/crates/dyketally/tests/fairness.rs
+++ b/crates/dyketally/tests/fairness/main.rs
@@ -1,7 +1,5 @@
 //! Fairness of the queue in simulated runs: shares, starvation, and the lending of idle shares.
 
-#[path = "../examples/simulation/mod.rs"]
-#[allow(dead_code, reason = "these tests use a part of the simulation")]
 mod simulation;
 
 use std::time::Duration;
@@ -10,7 +8,6 @@
 use dyketally::time::Timestamp;
 use proptest::prelude::*;
 use rstest::rstest;
-use simulation::callers::Callers;
 use simulation::engine;
 use simulation::fair::FairAtHome;
 use simulation::measures::{Measures, jain};
@@ -30,7 +27,6 @@
         arrivals: Arrivals::Random { per_second: 1.0 },
         service,
         deadline: Duration::from_secs(60),
-        through: None,
     };
     load.with_demand(demand)
 }
@@ -44,10 +40,9 @@
 }
 
 fn simulate(loads: &[TenantLoad], slots: u32, seed: u64) -> Measures {
-    let jobs = generate(loads, 1, LENGTH, seed);
+    let jobs = generate(loads, LENGTH, seed);
     let measures = Measures::new(loads.len(), slots, WINDOW);
-    let mut queue = FairAtHome::new(slots, loads);
-    engine::run(&mut queue, &mut Callers::GiveUp, &jobs, measures)
+    engine::run(FairAtHome::new(slots, loads), &jobs, measures)
 }
 
 #[rstest]
--- a/crates/dyketally/examples/simulation/engine.rs
+++ b/crates/dyketally/tests/fairness/simulation/engine.rs
@@ -5,8 +5,8 @@
 
 use dyketally::time::Timestamp;
 
-use super::callers::Callers;
-use super::discipline::{Discipline, Job, NotRun};
+use super::fair::FairAtHome;
+use super::job::Job;
 use super::measures::Measures;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -18,25 +18,18 @@
     Deadline(usize),
 }
 
-struct Engine<'a, D> {
-    discipline: &'a mut D,
-    callers: &'a mut Callers,
+struct Engine {
+    queue: FairAtHome,
     events: BinaryHeap<Reverse<(Timestamp, Event)>>,
     arriving: BTreeMap<usize, Job>,
     running: BTreeMap<usize, (Timestamp, Job)>,
     measures: Measures,
 }
 
-/// Runs `jobs` through `discipline` until nothing is left to do.
-pub fn run(
-    discipline: &mut impl Discipline,
-    callers: &mut Callers,
-    jobs: &[Job],
-    measures: Measures,
-) -> Measures {
+/// Runs `jobs` through `queue` until nothing is left to do.
+pub fn run(queue: FairAtHome, jobs: &[Job], measures: Measures) -> Measures {
     let mut engine = Engine {
-        discipline,
-        callers,
+        queue,
         events: BinaryHeap::new(),
         arriving: BTreeMap::new(),
         running: BTreeMap::new(),
@@ -48,7 +41,7 @@
     while let Some(Reverse((now, event))) = engine.events.pop() {
         engine
             .measures
-            .advance(now, engine.running.len(), engine.discipline.waiting());
+            .advance(now, engine.running.len(), engine.queue.waiting());
         engine.expire(now);
         engine.handle(now, event);
         engine.start_all(now);
@@ -56,7 +49,7 @@
     engine.measures
 }
 
-impl<D: Discipline> Engine<'_, D> {
+impl Engine {
     fn schedule(&mut self, at: Timestamp, job: Job) {
         self.events.push(Reverse((at, Event::Arrive(job.number))));
         self.arriving.insert(job.number, job);
@@ -74,7 +67,7 @@
         let Some((started, job)) = self.running.remove(&number) else {
             return;
         };
-        self.discipline.finish(now, &job);
+        self.queue.finish(now, &job);
         self.measures.finished(started, now, &job);
     }
 
@@ -82,36 +75,20 @@
         let Some(job) = self.arriving.remove(&number) else {
             return;
         };
-        if job.attempt == 1 {
-            self.callers.fresh();
-            self.measures.arrived(&job);
-        }
+        self.measures.arrived(&job);
         let deadline = job.deadline;
-        match self.discipline.arrive(now, job) {
-            Ok(()) => self
-                .events
-                .push(Reverse((deadline, Event::Deadline(number)))),
-            Err(not_run) => self.not_run(now, not_run),
+        if self.queue.arrive(now, job) {
+            self.events
+                .push(Reverse((deadline, Event::Deadline(number))));
         }
     }
 
     fn expire(&mut self, now: Timestamp) {
-        for not_run in self.discipline.expire(now) {
-            self.not_run(now, not_run);
-        }
-    }
-
-    fn not_run(&mut self, now: Timestamp, not_run: NotRun) {
-        self.measures.turned_away(&not_run.job);
-        if let Some(at) = self.callers.retry_at(now, &not_run) {
-            let mut job = not_run.job;
-            job.attempt += 1;
-            self.schedule(at, job);
-        }
+        self.queue.expire(now);
     }
 
     fn start_all(&mut self, now: Timestamp) {
-        while let Some(job) = self.discipline.start(now) {
+        while let Some(job) = self.queue.start(now) {
             self.measures.started(now, &job);
             let end = now + job.service;
             self.events.push(Reverse((end, Event::Finish(job.number))));
--- a/crates/dyketally/examples/simulation/fair.rs
+++ b/crates/dyketally/tests/fairness/simulation/fair.rs
@@ -1,7 +1,6 @@
 //! The fair queue at the home of the database.
 
 use std::collections::BTreeMap;
-use std::time::Duration;
 
 use dyketally::admission::{FairQueue, Stage, Submission, Ticket};
 use dyketally::identifiers::TenantName;
@@ -10,7 +9,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use super::discipline::{Discipline, Job, NotRun};
+use super::job::Job;
 use super::workload::TenantLoad;
 
 struct Share {
@@ -24,7 +23,6 @@
     queue: FairQueue<Job>,
     shares: Vec<Share>,
     tickets: BTreeMap<usize, Ticket>,
-    reserve: Duration,
     random: StdRng,
 }
 
@@ -40,20 +38,12 @@
             queue: FairQueue::new(slots),
             shares: shares.collect(),
             tickets: BTreeMap::new(),
-            reserve: Duration::ZERO,
             random: StdRng::seed_from_u64(0),
         }
     }
 
-    /// Gives up on a statement this long before its caller's deadline, so that a statement that
-    /// is started can still end in time.
-    pub fn with_reserve(self, reserve: Duration) -> Self {
-        FairAtHome { reserve, ..self }
-    }
-}
-
-impl Discipline for FairAtHome {
-    fn arrive(&mut self, now: Timestamp, job: Job) -> Result<(), NotRun> {
+    /// A statement arrives; `false` when it is answered without having run.
+    pub fn arrive(&mut self, now: Timestamp, job: Job) -> bool {
         let share = &self.shares[job.tenant];
         let number = job.number;
         let submission = Submission {
@@ -62,44 +52,37 @@
             queue_limit: share.queue_limit,
             stage: Stage::Fresh,
             urgency: Urgency::Normal,
-            deadline: job.deadline - self.reserve,
+            deadline: job.deadline,
             item: job,
         };
-        match self.queue.enqueue(now, submission, &mut self.random) {
-            Ok(ticket) => {
-                self.tickets.insert(number, ticket);
-                Ok(())
-            }
-            Err(rejected) => Err(NotRun {
-                job: rejected.item,
-                retry_after: Some(rejected.retry_after),
-            }),
+        let accepted = self.queue.enqueue(now, submission, &mut self.random);
+        if let Ok(ticket) = &accepted {
+            self.tickets.insert(number, *ticket);
         }
+        accepted.is_ok()
     }
 
-    fn start(&mut self, now: Timestamp) -> Option<Job> {
+    /// Gives a free slot to a statement; `None` when no slot is free for those that wait.
+    pub fn start(&mut self, now: Timestamp) -> Option<Job> {
         Some(self.queue.next(now)?.item)
     }
 
-    fn finish(&mut self, now: Timestamp, job: &Job) {
+    /// A statement gives its slot back.
+    pub fn finish(&mut self, now: Timestamp, job: &Job) {
         let ticket = self.tickets.remove(&job.number);
         let held_a_slot = ticket.is_some_and(|ticket| self.queue.finished(now, ticket));
         assert!(held_a_slot, "{job:?} held no slot");
     }
 
-    fn expire(&mut self, now: Timestamp) -> Vec<NotRun> {
-        let expired = self.queue.expire(now, &mut self.random);
-        for expired in &expired {
+    /// Gives up on the statements that are past their deadline.
+    pub fn expire(&mut self, now: Timestamp) {
+        for expired in self.queue.expire(now, &mut self.random) {
             self.tickets.remove(&expired.item.number);
         }
-        let not_run = expired.into_iter().map(|expired| NotRun {
-            job: expired.item,
-            retry_after: Some(expired.retry_after),
-        });
-        not_run.collect()
     }
 
-    fn waiting(&self) -> usize {
+    /// Statements that wait.
+    pub fn waiting(&self) -> usize {
         self.queue.queued()
     }
 }
--- a/crates/dyketally/examples/simulation/mod.rs
+++ b/crates/dyketally/tests/fairness/simulation/mod.rs
@@ -2,9 +2,8 @@
 //!
 //! Time is simulated, so results depend on the seed alone.
 
-pub mod callers;
-pub mod discipline;
 pub mod engine;
 pub mod fair;
+pub mod job;
 pub mod measures;
 pub mod workload;
--- a/crates/dyketally/examples/simulation/workload.rs
+++ b/crates/dyketally/tests/fairness/simulation/workload.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use super::discipline::Job;
+use super::job::Job;
 
 /// When a tenant's statements arrive.
 #[derive(Clone, Copy, Debug)]
@@ -38,15 +38,6 @@
 }
 
 impl ServiceTimes {
-    /// Statements that all take the same time.
-    pub fn constant(time: Duration) -> Self {
-        ServiceTimes {
-            short: time,
-            long: time,
-            percent_long: 0,
-        }
-    }
-
     /// The mean in seconds.
     pub fn mean(&self) -> f64 {
         let long = f64::from(self.percent_long) / 100.0;
@@ -77,20 +68,9 @@
     pub service: ServiceTimes,
     /// Time from arrival to the caller's deadline.
     pub deadline: Duration,
-    /// The proxy that all its callers use; `None` for any.
-    pub through: Option<usize>,
 }
 
 impl TenantLoad {
-    /// Slots that the tenant would keep busy if all its statements ran.
-    pub fn demand(&self) -> f64 {
-        let per_second = match self.arrivals {
-            Arrivals::Random { per_second } => per_second,
-            Arrivals::Bursts { every, size } => size as f64 / every.as_secs_f64(),
-        };
-        per_second * self.service.mean()
-    }
-
     /// A random arrival rate that keeps `slots` slots busy.
     pub fn with_demand(mut self, slots: f64) -> Self {
         let per_second = slots / self.service.mean();
@@ -100,18 +80,15 @@
 }
 
 /// All statements that arrive within `length`, in order of arrival.
-pub fn generate(tenants: &[TenantLoad], proxies: usize, length: Duration, seed: u64) -> Vec<Job> {
+pub fn generate(tenants: &[TenantLoad], length: Duration, seed: u64) -> Vec<Job> {
     let mut jobs = Vec::new();
     for (tenant, load) in tenants.iter().enumerate() {
         let stream = seed.wrapping_mul(1_000_003).wrapping_add(tenant as u64);
         let mut random = StdRng::seed_from_u64(stream);
         for arrived in arrivals(load.arrivals, length, &mut random) {
-            let any = random.random_range(0..proxies);
             jobs.push(Job {
                 number: 0,
                 tenant,
-                proxy: load.through.unwrap_or(any),
-                attempt: 1,
                 arrived,
                 deadline: arrived + load.deadline,
                 service: load.service.draw(&mut random),
