--- a/crates/dyketally-proxy/src/edge/mod.rs
+++ b/crates/dyketally-proxy/src/edge/mod.rs
@@ -9,6 +9,7 @@
 mod control;
 mod counters;
 mod deadline;
+mod layered;
 mod listener;
 mod request;
 mod retry;
@@ -35,10 +36,11 @@
 pub use codec::{CallerCodec, CallerError, Phase};
 pub use counters::{EdgeCounters, EdgeCounts};
 pub use deadline::{Deadline, DeadlineLayer};
+pub use layered::{Layered, RunRequest};
 pub use listener::serve_callers;
 pub use request::{PinnedTransaction, ReplyStart, RoutedRequest, StatementReply, StatementRequest};
-pub use retry::{Retry, RetryLayer};
-pub use route::{Route, RouteLayer, SharedRoutes};
+pub use retry::RetryLayer;
+pub use route::{RouteLayer, SharedRoutes};
 pub use send::{SendToHome, completion_of};
 
 use crate::homes::Homes;
@@ -47,7 +49,7 @@
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 /// The request path of an edge.
-pub type RequestPath = Deadline<Retry<Route<SendToHome>>>;
+pub type RequestPath = Deadline<Layered<RetryLayer, Layered<RouteLayer, SendToHome>>>;
 
 /// Bounds on what callers may ask of an edge.
 #[derive(Clone, Copy, Debug)]
--- a/crates/dyketally-proxy/src/edge/retry.rs
+++ b/crates/dyketally-proxy/src/edge/retry.rs
@@ -2,7 +2,6 @@
 
 use std::convert::Infallible;
 use std::sync::{Arc, Mutex, MutexGuard};
-use std::task::{Context, Poll};
 use std::time::Duration;
 
 use dyketally::outcome::UnknownReason;
@@ -10,10 +9,10 @@
 use dyketally::retry::{Attempt, Decision, Retrier, TenantRetriers};
 use dyketally::time::Timestamp;
 use dyketally_protocol::Completion;
-use futures::future::BoxFuture;
 use tokio::time::Instant;
 use tower::{Layer, Service, ServiceExt};
 
+use super::layered::{Layered, RunRequest};
 use super::request::{ReplyStart, StatementReply, StatementRequest};
 use crate::clock;
 
@@ -35,83 +34,51 @@
 }
 
 impl<Inner> Layer<Inner> for RetryLayer {
-    type Service = Retry<Inner>;
+    type Service = Layered<RetryLayer, Inner>;
 
-    fn layer(&self, inner: Inner) -> Retry<Inner> {
-        Retry {
-            retriers: self.retriers.clone(),
-            inner,
-        }
+    fn layer(&self, inner: Inner) -> Self::Service {
+        Layered::new(self, inner)
     }
 }
 
-/// See [`RetryLayer`].
-#[derive(Clone, Debug)]
-pub struct Retry<Inner> {
-    retriers: SharedRetriers,
-    inner: Inner,
-}
-
-impl<Inner> Service<StatementRequest> for Retry<Inner>
+impl<Inner> RunRequest<Inner> for RetryLayer
 where
-    Inner: Service<StatementRequest, Response = StatementReply, Error = Infallible>
-        + Clone
-        + Send
-        + 'static,
+    Inner: Service<StatementRequest, Response = StatementReply, Error = Infallible> + Send,
     Inner::Future: Send,
 {
-    type Response = StatementReply;
-    type Error = Infallible;
-    type Future = BoxFuture<'static, Result<StatementReply, Infallible>>;
-
-    fn poll_ready(&mut self, context: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
-        self.inner.poll_ready(context)
-    }
-
-    fn call(&mut self, request: StatementRequest) -> Self::Future {
-        let inner = self.inner.clone();
-        let retriers = self.retriers.clone();
-        Box::pin(async move { Ok(retry(retriers, inner, request).await) })
-    }
-}
-
-async fn retry<Inner>(
-    retriers: SharedRetriers,
-    mut inner: Inner,
-    request: StatementRequest,
-) -> StatementReply
-where
-    Inner: Service<StatementRequest, Response = StatementReply, Error = Infallible>,
-{
-    lock(&retriers).tenant(&request.tenant).fresh();
-    let mut attempts = 0;
-    let mut in_doubt = None;
-    loop {
-        let Ok(service) = inner.ready().await;
-        let Ok(reply) = service.call(request.clone()).await;
-        if let Some(in_doubt) = in_doubt.take_if(|_| !may_have_run(&reply)) {
-            return in_doubt;
-        }
-        if !may_run_again(&request, &reply) {
-            return reply;
-        }
-        attempts += 1;
-        let attempt = attempt(&request, attempts);
-        let decision = lock(&retriers).tenant(&request.tenant).decide(
-            clock::now(),
-            &attempt,
-            &mut rand::rng(),
-        );
-        let Decision::RetryAt(at) = decision else {
-            return reply;
-        };
-        let pause = tokio::time::sleep(at.saturating_since(clock::now()));
-        tokio::select! {
-            () = pause => {}
-            () = request.cancelled.cancelled() => return reply,
-        }
-        if !request.is_plain_read() {
-            in_doubt = Some(reply);
+    type Sent = StatementRequest;
+
+    async fn run(self, mut inner: Inner, request: StatementRequest) -> StatementReply {
+        lock(&self.retriers).tenant(&request.tenant).fresh();
+        let mut attempts = 0;
+        let mut in_doubt = None;
+        loop {
+            let Ok(service) = inner.ready().await;
+            let Ok(reply) = service.call(request.clone()).await;
+            if let Some(in_doubt) = in_doubt.take_if(|_| !may_have_run(&reply)) {
+                return in_doubt;
+            }
+            if !may_run_again(&request, &reply) {
+                return reply;
+            }
+            attempts += 1;
+            let attempt = attempt(&request, attempts);
+            let decision = lock(&self.retriers).tenant(&request.tenant).decide(
+                clock::now(),
+                &attempt,
+                &mut rand::rng(),
+            );
+            let Decision::RetryAt(at) = decision else {
+                return reply;
+            };
+            let pause = tokio::time::sleep(at.saturating_since(clock::now()));
+            tokio::select! {
+                () = pause => {}
+                () = request.cancelled.cancelled() => return reply,
+            }
+            if !request.is_plain_read() {
+                in_doubt = Some(reply);
+            }
         }
     }
 }
--- a/crates/dyketally-proxy/src/edge/route.rs
+++ b/crates/dyketally-proxy/src/edge/route.rs
@@ -2,18 +2,17 @@
 
 use std::convert::Infallible;
 use std::sync::{Arc, Mutex, MutexGuard};
-use std::task::{Context, Poll};
 
 use dyketally::identifiers::{DatabaseName, Locality};
 use dyketally::outcome::NotRunReason;
 use dyketally::policy::Access;
-use dyketally::routing::{Attempt, Route as NextHop, RouteRequest, RouteTable};
+use dyketally::routing::{Attempt, Route, RouteRequest, RouteTable};
 use dyketally::time::Timestamp;
 use dyketally_protocol::{Completion, Freshness};
-use futures::future::BoxFuture;
 use tokio::time::Instant;
 use tower::{Layer, Service, ServiceExt};
 
+use super::layered::{Layered, RunRequest};
 use super::request::{ReplyStart, RoutedRequest, StatementReply, StatementRequest};
 use crate::clock;
 
@@ -33,9 +32,9 @@
         }
     }
 
-    fn choose(&self, request: &StatementRequest, attempt: &mut Attempt) -> NextHop {
+    fn choose(&self, request: &StatementRequest, attempt: &mut Attempt) -> Route {
         if let Some(pinned) = &request.transaction {
-            return NextHop::Send(pinned.database.clone());
+            return Route::Send(pinned.database.clone());
         }
         let route = self.route_request(request);
         self.lock().choose(route, attempt, clock::now())
@@ -71,77 +70,45 @@
 }
 
 impl<Inner> Layer<Inner> for RouteLayer {
-    type Service = Route<Inner>;
+    type Service = Layered<RouteLayer, Inner>;
 
-    fn layer(&self, inner: Inner) -> Route<Inner> {
-        Route {
-            routes: self.routes.clone(),
-            inner,
-        }
+    fn layer(&self, inner: Inner) -> Self::Service {
+        Layered::new(self, inner)
     }
 }
 
-/// See [`RouteLayer`].
-#[derive(Clone, Debug)]
-pub struct Route<Inner> {
-    routes: SharedRoutes,
-    inner: Inner,
-}
-
-impl<Inner> Service<StatementRequest> for Route<Inner>
+impl<Inner> RunRequest<Inner> for RouteLayer
 where
-    Inner: Service<RoutedRequest, Response = StatementReply, Error = Infallible>
-        + Clone
-        + Send
-        + 'static,
+    Inner: Service<RoutedRequest, Response = StatementReply, Error = Infallible> + Send,
     Inner::Future: Send,
 {
-    type Response = StatementReply;
-    type Error = Infallible;
-    type Future = BoxFuture<'static, Result<StatementReply, Infallible>>;
-
-    fn poll_ready(&mut self, context: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
-        self.inner.poll_ready(context)
-    }
-
-    fn call(&mut self, request: StatementRequest) -> Self::Future {
-        let inner = self.inner.clone();
-        let routes = self.routes.clone();
-        Box::pin(async move { Ok(route(routes, inner, request).await) })
-    }
-}
-
-async fn route<Inner>(
-    routes: SharedRoutes,
-    mut inner: Inner,
-    request: StatementRequest,
-) -> StatementReply
-where
-    Inner: Service<RoutedRequest, Response = StatementReply, Error = Infallible>,
-{
-    let mut attempt = Attempt::default();
-    let mut last = not_run(&request, NotRunReason::NoPrimary);
-    loop {
-        let database = match routes.choose(&request, &mut attempt) {
-            NextHop::Send(database) => database,
-            NextHop::Wait(until) => match pause(until, &request).await {
-                Waited::Due => continue,
-                Waited::Over => return without_redirect(last),
-            },
-            NextHop::GiveUp(NotRunReason::NoPrimary) => return without_redirect(last),
-            NextHop::GiveUp(reason) => return not_run(&request, reason),
-        };
-        let routed = RoutedRequest {
-            database,
-            request: request.clone(),
-        };
-        let Ok(service) = inner.ready().await;
-        let Ok(reply) = service.call(routed).await;
-        if !moves_on(&routes, &request, &mut attempt, &reply) {
-            learn_primary(&routes, &request, &reply);
-            return reply;
+    type Sent = RoutedRequest;
+
+    async fn run(self, mut inner: Inner, request: StatementRequest) -> StatementReply {
+        let mut attempt = Attempt::default();
+        let mut last = not_run(&request, NotRunReason::NoPrimary);
+        loop {
+            let database = match self.routes.choose(&request, &mut attempt) {
+                Route::Send(database) => database,
+                Route::Wait(until) => match pause(until, &request).await {
+                    Waited::Due => continue,
+                    Waited::Over => return without_redirect(last),
+                },
+                Route::GiveUp(NotRunReason::NoPrimary) => return without_redirect(last),
+                Route::GiveUp(reason) => return not_run(&request, reason),
+            };
+            let routed = RoutedRequest {
+                database,
+                request: request.clone(),
+            };
+            let Ok(service) = inner.ready().await;
+            let Ok(reply) = service.call(routed).await;
+            if !moves_on(&self.routes, &request, &mut attempt, &reply) {
+                learn_primary(&self.routes, &request, &reply);
+                return reply;
+            }
+            last = reply;
         }
-        last = reply;
     }
 }
 
