--- a/crates/dyketally-lab/tests/network.rs
+++ b/crates/dyketally-lab/tests/network.rs
@@ -5,7 +5,7 @@
 
 use dyketally_lab::network::{
     ControlClient, CutRequest, Delay, DelayRequest, Endpoint, Network, NetworkSettings, Passage,
-    Place, routes_fragment,
+    Place,
 };
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -199,15 +199,8 @@
 }
 
 #[tokio::test]
-async fn the_fragment_names_the_relays_of_one_process() {
-    let target = echo_server().await;
-    let fixture = fixture(target).await;
+async fn the_control_address_tells_the_relays() {
+    let fixture = fixture(echo_server().await).await;
     let routes = fixture.control.routes().await.expect("routes");
     assert_eq!(routes, fixture.network.routes());
-    let expected = format!(
-        "[[network.routes]]\nto = \"{target}\"\nvia = \"{}\"\n\n",
-        fixture.via
-    );
-    assert_eq!(routes_fragment(&routes, "caller"), expected);
-    assert_eq!(routes_fragment(&routes, "server"), "");
 }
--- a/crates/dyketally-proxy/src/settings/values.rs
+++ b/crates/dyketally-proxy/src/settings/values.rs
@@ -17,11 +17,6 @@
         let url = reqwest::Url::parse(text).ok()?;
         (url.scheme() == "http" && url.has_host()).then_some(Self(url))
     }
-
-    /// The URL.
-    pub fn as_url(&self) -> &reqwest::Url {
-        &self.0
-    }
 }
 
 impl fmt::Display for HttpUrl {
--- a/crates/dyketally/src/admission/queue.rs
+++ b/crates/dyketally/src/admission/queue.rs
@@ -135,12 +135,6 @@
         expired
     }
 
-    /// When [`expire`](Self::expire) has something to do next.
-    pub fn next_expiry(&self) -> Option<Timestamp> {
-        let first = self.latest_starts.first();
-        first.map(|(latest_start, _)| *latest_start)
-    }
-
     /// When [`expire`](Self::expire) gives up on this statement. `None` when it doesn't wait any
     /// more.
     pub fn latest_start(&self, ticket: Ticket) -> Option<Timestamp> {
@@ -161,15 +155,6 @@
         })
     }
 
-    /// Takes all waiting statements out, oldest first; for a home that gives the database up.
-    pub fn withdraw_all(&mut self) -> Vec<Withdrawn<T>> {
-        let tickets: Vec<Ticket> = self.locations.keys().copied().collect();
-        tickets
-            .into_iter()
-            .filter_map(|ticket| self.withdraw(ticket))
-            .collect()
-    }
-
     /// Drops what is remembered of idle tenants that `keep` doesn't name.
     pub fn retain_tenants(&mut self, keep: impl Fn(&TenantName) -> bool) {
         let schedule = &mut self.schedule;
--- a/crates/dyketally/src/delta.rs
+++ b/crates/dyketally/src/delta.rs
@@ -61,15 +61,6 @@
         }
         Some(new)
     }
-
-    /// Bytes of the newer version that the difference holds itself.
-    pub fn new_bytes(&self) -> usize {
-        let new = self.parts.iter().map(|part| match part {
-            Part::Kept { .. } => 0,
-            Part::New(bytes) => bytes.len(),
-        });
-        new.sum()
-    }
 }
 
 fn pieces(document: &[u8]) -> impl Iterator<Item = &[u8]> {
--- a/crates/dyketally/src/drain/node.rs
+++ b/crates/dyketally/src/drain.rs
@@ -1,4 +1,7 @@
-//! Planned stop of a node.
+//! Planned stop of a node: leaving is announced, then work in flight ends.
+//!
+//! Work is whatever the stop waits for, under the name that its owner gives it. A drain lets it end
+//! by itself; only at the deadline is the rest cut off, and named.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -47,7 +50,7 @@
 pub enum NodeDrainAction<W> {
     /// Tell every peer that this node is leaving.
     AnnounceLeaving,
-    /// Accept no new callers, and ask [`NodeDrain::at_boundary`] before each statement.
+    /// Accept no new callers, and turn callers away between two statements.
     TurnCallersAway,
     /// Close the connections of callers that have neither a statement nor a transaction.
     CloseIdleCallers,
@@ -60,22 +63,12 @@
     Exit,
 }
 
-/// What to do with a caller that is about to send a statement.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Boundary {
-    /// Serve the statement.
-    Serve,
-    /// Answer that it was not run because the node is leaving, and close the connection.
-    TurnAway,
-}
-
 /// The planned stop of a node as a state machine.
 #[derive(Debug)]
 pub struct NodeDrain<W> {
     settings: NodeDrainSettings,
     phase: NodeDrainPhase,
     in_flight: BTreeSet<W>,
-    callers: usize,
     stop_requested: Option<Timestamp>,
     announced: bool,
     peers_informed: bool,
@@ -91,7 +84,6 @@
             settings,
             phase: NodeDrainPhase::Serving,
             in_flight: BTreeSet::new(),
-            callers: 0,
             stop_requested: None,
             announced: false,
             peers_informed: false,
@@ -111,32 +103,12 @@
         self.phase <= NodeDrainPhase::Announced
     }
 
-    /// What to do with a statement that a caller of this node is about to send. A transaction is
-    /// let to its end.
-    pub fn at_boundary(&self, in_transaction: bool) -> Boundary {
-        if self.accepts_new_work() || (in_transaction && self.phase < NodeDrainPhase::Done) {
-            Boundary::Serve
-        } else {
-            Boundary::TurnAway
-        }
-    }
-
-    /// A caller connected.
-    pub fn caller_joined(&mut self) {
-        self.callers += 1;
-    }
-
-    /// A caller's connection ended.
-    pub fn caller_left(&mut self) {
-        self.callers = self.callers.saturating_sub(1);
-    }
-
-    /// A request or a transaction began.
+    /// Work began, or goes on.
     pub fn begin(&mut self, work: W) {
         self.in_flight.insert(work);
     }
 
-    /// A request or a transaction ended.
+    /// Work ended.
     pub fn end(&mut self, work: &W) {
         self.in_flight.remove(work);
     }
@@ -183,11 +155,6 @@
         }
     }
 
-    /// Work in flight, in order.
-    pub fn in_flight(&self) -> impl ExactSizeIterator<Item = &W> {
-        self.in_flight.iter()
-    }
-
     /// The work that was cut off at the deadline.
     pub fn cut(&self) -> &[W] {
         &self.cut
@@ -229,8 +196,7 @@
             let work = self.cut.clone();
             actions.push(NodeDrainAction::Cut { work });
         }
-        let finished = self.in_flight.is_empty() && self.callers == 0;
-        if finished || overdue {
+        if self.in_flight.is_empty() || overdue {
             self.phase = NodeDrainPhase::Done;
             actions.push(NodeDrainAction::Exit);
         }
--- a/crates/dyketally/src/membership/engine.rs
+++ b/crates/dyketally/src/membership/engine.rs
@@ -219,22 +219,12 @@
         self.state_version
     }
 
-    /// This node's name.
-    pub fn own_node(&self) -> &NodeName {
-        &self.own
-    }
-
     /// This node's incarnation.
     pub fn own_incarnation(&self) -> Incarnation {
         let own = self.own_entry();
         own.map_or_else(Incarnation::default, |entry| entry.record.incarnation)
     }
 
-    /// True once the whole member table has been received from another node.
-    pub fn has_joined(&self) -> bool {
-        self.sync.joined
-    }
-
     /// True once a newer process runs under this node's name.
     pub fn is_replaced(&self) -> bool {
         self.phase == Phase::Replaced
--- a/crates/dyketally/src/outcome.rs
+++ b/crates/dyketally/src/outcome.rs
@@ -1,28 +1,7 @@
-//! The three outcomes a caller can be told, and why.
-
-use std::time::Duration;
+//! Why a statement was not run, or why it can't be told whether it was: what callers get to read.
 
 use serde::{Deserialize, Serialize};
 
-/// What became of a statement. There is nothing in between.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
-    /// The database ran it, and for a write the group confirmed it.
-    Done,
-    /// It was not run and never will be.
-    NotRun {
-        /// Why.
-        reason: NotRunReason,
-        /// When the caller should come back; `None` when coming back won't help.
-        retry_after: Option<Duration>,
-    },
-    /// It may or may not have been run.
-    Unknown {
-        /// Why it can't be told.
-        reason: UnknownReason,
-    },
-}
-
 /// Why a statement was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum NotRunReason {
--- a/crates/dyketally/tests/drain.rs
+++ b/crates/dyketally/tests/drain.rs
@@ -1,13 +1,9 @@
-//! Planned stop of a node and leaving of a database, case by case.
+//! Planned stop of a node, case by case.
 
 use std::time::Duration;
 
-use dyketally::drain::{
-    Boundary, DatabaseDrain, DatabaseDrainAction, DatabaseDrainPhase, NodeDrain, NodeDrainAction,
-    NodeDrainPhase, NodeDrainSettings,
-};
+use dyketally::drain::{NodeDrain, NodeDrainAction, NodeDrainPhase, NodeDrainSettings};
 use dyketally::time::Timestamp;
-use rstest::rstest;
 
 const SETTINGS: NodeDrainSettings = NodeDrainSettings {
     announce_wait: Duration::from_millis(100),
@@ -29,7 +25,7 @@
 #[test]
 fn a_node_without_work_stops_once_peers_know() {
     let mut drain = stopping();
-    assert_eq!(drain.at_boundary(false), Boundary::Serve);
+    assert!(drain.accepts_new_work());
     drain.peers_informed();
     let expected = [NodeDrainAction::TurnCallersAway, NodeDrainAction::Exit];
     assert_eq!(drain.poll(at(1)), expected);
@@ -70,8 +66,6 @@
     drain.stop(at(0));
     drain.poll(at(100));
     assert!(!drain.accepts_new_work());
-    assert_eq!(drain.at_boundary(false), Boundary::TurnAway);
-    assert_eq!(drain.at_boundary(true), Boundary::Serve);
     drain.end(&"order");
     assert!(drain.poll(at(200)).is_empty());
     drain.end(&"transaction");
@@ -108,7 +102,6 @@
     let expected = [NodeDrainAction::Cut { work }, NodeDrainAction::Exit];
     assert_eq!(drain.poll(at(1_000)), expected);
     assert_eq!(drain.cut(), ["slow"]);
-    assert_eq!(drain.at_boundary(true), Boundary::TurnAway);
 }
 
 #[test]
@@ -120,37 +113,3 @@
     let actions = drain.poll(at(1_000));
     assert!(actions.contains(&NodeDrainAction::Exit), "{actions:?}");
 }
-
-#[rstest]
-#[case::nothing_in_flight(&[], 0, vec![DatabaseDrainAction::CloseConnections])]
-#[case::before_the_deadline(&["pin"], 99, vec![])]
-#[case::at_the_deadline(&["pin"], 100, vec![DatabaseDrainAction::Cut { work: vec!["pin"] }, DatabaseDrainAction::CloseConnections])]
-fn a_database_leaves(
-    #[case] pins: &[&'static str],
-    #[case] milliseconds: u64,
-    #[case] expected: Vec<DatabaseDrainAction<&'static str>>,
-) {
-    let mut drain = DatabaseDrain::new(Duration::from_millis(100));
-    for pin in pins {
-        drain.begin(*pin);
-    }
-    assert!(drain.accepts_new_work());
-    assert!(drain.poll(at(0)).is_empty());
-    drain.notice(at(0));
-    drain.notice(at(50));
-    assert!(!drain.accepts_new_work());
-    assert_eq!(drain.poll(at(milliseconds)), expected);
-    assert!(drain.poll(at(milliseconds)).is_empty(), "asked for once");
-}
-
-#[test]
-fn a_database_that_comes_back_gets_work() {
-    let mut drain = DatabaseDrain::<&str>::new(Duration::from_millis(100));
-    drain.notice(at(0));
-    drain.poll(at(0));
-    assert_eq!(drain.phase(), DatabaseDrainPhase::Left);
-    drain.notice(at(5));
-    assert!(drain.poll(at(200)).is_empty(), "it has left already");
-    drain.readmit();
-    assert!(drain.accepts_new_work());
-}
--- a/crates/dyketally/tests/fuzz/database_home/mod.rs
+++ b/crates/dyketally/tests/fuzz/database_home/mod.rs
@@ -1,6 +1,7 @@
 //! The home of one database: queue, pool, view of the group and confirmation rounds.
 
 mod confirming;
+mod drain;
 mod resolver;
 mod resolving;
 mod running;
@@ -11,7 +12,6 @@
 use std::time::Duration;
 
 use dyketally::admission::{FairQueue, Stage, Submission};
-use dyketally::drain::{DatabaseDrain, DatabaseDrainAction};
 use dyketally::group::{
     Confirmations, FinishedWrite, GroupView, LogPosition, MemberStatus, ProbePacing, Resolved,
     Role, Term, Verdict,
@@ -34,6 +34,8 @@
 use crate::status_lines::{Answer, StatusLines};
 use crate::switches::Switch;
 
+use drain::DatabaseDrain;
+
 const SLOTS: u32 = 2;
 const CONNECTION_LIMIT: u32 = 5;
 const QUEUE_LIMIT: u32 = 8;
@@ -107,7 +109,7 @@
     pub(super) queue: FairQueue<JobId>,
     pub(super) wires: BTreeMap<ConnectionId, Wire>,
     pub(super) jobs: BTreeMap<JobId, Job>,
-    pub(super) drain: DatabaseDrain<JobId>,
+    pub(super) drain: DatabaseDrain,
     pub(super) new_connections: Vec<ConnectionId>,
     /// Asked for anything yet.
     pub(super) active: bool,
@@ -258,15 +260,15 @@
     }
 
     pub(super) fn poll_drain(&mut self, environment: &mut Environment, now: Timestamp) {
-        for action in self.drain.poll(now) {
-            if let DatabaseDrainAction::Cut { work } = action {
-                for job in work {
-                    self.finish(environment, job, Completion::Unknown);
-                }
-                for action in self.pool.close_held() {
-                    self.act(environment, action);
-                }
-            }
+        let overdue = self.drain.take_overdue(now);
+        if overdue.is_empty() {
+            return;
+        }
+        for job in overdue {
+            self.finish(environment, job, Completion::Unknown);
+        }
+        for action in self.pool.close_held() {
+            self.act(environment, action);
         }
     }
 
@@ -349,7 +351,7 @@
             self.close_wire_of(environment, id);
         }
         self.release(environment, id);
-        self.drain.end(&id);
+        self.drain.end(id);
         if let Some(mut job) = self.jobs.remove(&id) {
             if let Some(resolver) = &mut job.resolver {
                 resolver.give_up_now(environment, environment.now(self.place));
