--- a/crates/dyketally-cli/src/explain.rs
+++ b/crates/dyketally-cli/src/explain.rs
@@ -62,6 +62,7 @@
     lines.collect()
 }
 
+/// `None` for a line that holds no entry of a log, such as a panic's text.
 fn parse(log: &Path, line: &str) -> Option<LogLine> {
     let start = line.find('{')?;
     let object: Value = serde_json::from_str(&line[start..]).ok()?;
--- a/crates/dyketally-cli/src/listing.rs
+++ b/crates/dyketally-cli/src/listing.rs
@@ -40,6 +40,7 @@
 fn tenant_row(snapshot: &Snapshot, tenant: &TenantPolicy) -> TenantRow {
     let name = tenant.name.as_str();
     let document = snapshot.documents.tenants.get(name);
+    // The documents were resolved into `tenant` before, so they can be parsed.
     let document = document.and_then(|text| TenantDocument::parse(name, text).ok());
     let pair = |(database, group): (&String, _)| format!("{database} -> {group}");
     let databases: Vec<String> = tenant.databases.iter().map(pair).collect();
--- a/crates/dyketally-cli/src/publish.rs
+++ b/crates/dyketally-cli/src/publish.rs
@@ -206,6 +206,7 @@
 
 fn unix_millis() -> UnixMillis {
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
+    // A clock before 1970 gives 1970: the time is shown to people and never compared.
     UnixMillis(since_1970.unwrap_or_default().as_millis() as u64)
 }
 
--- a/crates/dyketally-lab/src/database/peers.rs
+++ b/crates/dyketally-lab/src/database/peers.rs
@@ -84,6 +84,7 @@
 async fn read_from_peer(stream: TcpStream, inbox: mpsc::Sender<Envelope>) {
     let mut frames = framed(stream);
     while let Some(Ok(frame)) = frames.next().await {
+        // Anything else comes from no member: the connection is closed.
         let Ok(envelope) = postcard::from_bytes(&frame) else {
             return;
         };
@@ -114,6 +115,7 @@
                 from: own_name.clone(),
                 message,
             };
+            // Messages of the replication are plain data, which always encode.
             let Ok(frame) = postcard::to_stdvec(&envelope) else {
                 continue;
             };
@@ -221,6 +223,7 @@
                 continue;
             }
             if let Some(outbox) = self.outboxes.get(&to) {
+                // A full link loses the message; replication sends again what was not confirmed.
                 let _ = outbox.try_send(message);
             }
         }
--- a/crates/dyketally-lab/src/load/progress.rs
+++ b/crates/dyketally-lab/src/load/progress.rs
@@ -16,6 +16,7 @@
     /// Progress of the run `name` in this many steps.
     pub fn new(name: &str, steps: u64) -> Self {
         let bar = ProgressBar::new(steps);
+        // The template is fixed; without it the bar would have its usual look.
         if let Ok(style) = ProgressStyle::with_template(TEMPLATE) {
             bar.set_style(style);
         }
@@ -39,6 +40,7 @@
 
 /// Seconds since 1970.
 pub fn now_seconds() -> u64 {
+    // A clock before 1970 gives 1970: the time is shown and never compared.
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |elapsed| elapsed.as_secs())
 }
--- a/crates/dyketally-lab/src/network/tcp.rs
+++ b/crates/dyketally-lab/src/network/tcp.rs
@@ -59,7 +59,8 @@
         reset(&near);
         return;
     };
-    // Delays are added here, so the sockets must not add their own.
+    // Delays are added here, so the sockets must not add their own. A socket without the option
+    // still relays.
     let _ = near.set_nodelay(true);
     let _ = far.set_nodelay(true);
     if exchange(&mut near, &mut far, directions).await.is_err() {
--- a/crates/dyketally-proxy/src/admin/metrics.rs
+++ b/crates/dyketally-proxy/src/admin/metrics.rs
@@ -52,8 +52,10 @@
 
     /// Adds a counter for each whole number among the fields of `counts`, named after the field.
     pub fn counters_of(&mut self, prefix: &str, labels: &[Label<'_>], counts: &impl Serialize) {
-        let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(counts) else {
-            return;
+        let fields = match serde_json::to_value(counts) {
+            Ok(serde_json::Value::Object(fields)) => fields,
+            Ok(_) => return log::error!("{prefix}: counters are no struct and are left out"),
+            Err(error) => return log::error!("{prefix}: counters are left out: {error}"),
         };
         for (field, value) in fields {
             if let Some(value) = value.as_u64() {
--- a/crates/dyketally-proxy/src/edge/codec.rs
+++ b/crates/dyketally-proxy/src/edge/codec.rs
@@ -111,6 +111,7 @@
         match decoded {
             Ok(Ok(message)) => Ok(message),
             Ok(Err(PgWireError::IoError(error))) => Err(CallerError::Io(error)),
+            // The caller is told that its message is malformed, and where is of no use to it.
             Ok(Err(_)) | Err(_) => Err(CallerError::Malformed),
         }
     }
--- a/crates/dyketally-proxy/src/edge/listener.rs
+++ b/crates/dyketally-proxy/src/edge/listener.rs
@@ -7,6 +7,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+use super::Edge;
 use super::answer::{CallerFault, sqlstate};
 use super::cancel::CancelEntry;
 use super::codec::{CallerCodec, CallerError};
@@ -14,7 +15,7 @@
 use super::session::CallerSession;
 use super::startup::{Opening, identify, read_opening};
 use super::writer::CallerWriter;
-use super::{ACCEPT_PAUSE, Edge};
+use crate::accept::accept;
 
 /// Time a caller has from connecting to its startup message.
 const STARTUP_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
@@ -29,16 +30,11 @@
     stop: CancellationToken,
 ) {
     loop {
-        let accepted = tokio::select! {
-            accepted = listener.accept() => accepted,
+        let (stream, _) = tokio::select! {
+            accepted = accept(&listener) => accepted,
             () = stop.cancelled() => return,
         };
-        match accepted {
-            Ok((stream, _)) => {
-                sessions.spawn(serve_caller(stream, edge.clone()));
-            }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
-        }
+        sessions.spawn(serve_caller(stream, edge.clone()));
     }
 }
 
--- a/crates/dyketally-proxy/src/edge/mod.rs
+++ b/crates/dyketally-proxy/src/edge/mod.rs
@@ -22,7 +22,6 @@
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::time::Duration;
 
 use dyketally::identifiers::{Locality, NodeName};
 use dyketally::policy::PolicySet;
@@ -45,9 +44,6 @@
 
 use crate::homes::Homes;
 
-/// Pause after a connection could not be accepted, which means that the process is out of files.
-pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-
 /// The request path of an edge.
 pub type RequestPath = Deadline<Layered<RetryLayer, Layered<RouteLayer, SendToHome>>>;
 
--- a/crates/dyketally-proxy/src/home/backend.rs
+++ b/crates/dyketally-proxy/src/home/backend.rs
@@ -254,7 +254,7 @@
     }
 }
 
-/// The SQLSTATE of an error.
+/// The SQLSTATE of an error; `None` when it has none, which callers treat as an unknown class.
 pub fn sqlstate(body: &ErrorResponseBody) -> Option<String> {
     error_field(body, SQLSTATE_FIELD)
 }
--- a/crates/dyketally-proxy/src/home/conclude.rs
+++ b/crates/dyketally-proxy/src/home/conclude.rs
@@ -87,6 +87,7 @@
                 output.discard();
                 self.redirect()
             }
+            // No verdict comes from a monitor that has ended: the primary isn't confirmed either.
             Ok(Verdict::NotConfirmed) | Err(_) => {
                 output.discard();
                 not_run(NotRunReason::NoPrimary)
--- a/crates/dyketally-proxy/src/home/dispatch.rs
+++ b/crates/dyketally-proxy/src/home/dispatch.rs
@@ -103,6 +103,7 @@
             self.change(|_, _| {});
             let wakeup = self.lock().pool.next_wakeup(now());
             let pause = wakeup.map_or(LONGEST_PAUSE, |at| at.saturating_since(now()));
+            // What is due is looked up again either way.
             let _ = tokio::time::timeout(pause.min(LONGEST_PAUSE), rescheduled).await;
         }
     }
--- a/crates/dyketally-proxy/src/home/handle.rs
+++ b/crates/dyketally-proxy/src/home/handle.rs
@@ -94,6 +94,7 @@
     /// or `deadline` passes. Returns the requests and transactions that were cut off.
     pub async fn drain(&self, deadline: Instant) -> usize {
         self.shared.draining.store(true, Ordering::Relaxed);
+        // What is left at the deadline is counted below.
         let _ = timeout_at(deadline, self.shared.wait_until_empty()).await;
         self.shared.tasks.len() + self.shared.sessions().pins()
     }
--- a/crates/dyketally-proxy/src/home/monitor.rs
+++ b/crates/dyketally-proxy/src/home/monitor.rs
@@ -275,6 +275,7 @@
             match wakeup {
                 Some(at) => {
                     let pause = at.saturating_since(now());
+                    // What is due is looked up again either way.
                     let _ = tokio::time::timeout(pause, rescheduled).await;
                 }
                 None => rescheduled.await,
--- a/crates/dyketally-proxy/src/home/resolve.rs
+++ b/crates/dyketally-proxy/src/home/resolve.rs
@@ -49,9 +49,11 @@
             let primary = self.shared.monitor.view(|view| view.primary());
             if let Some((primary, term)) = primary {
                 let attempt = self.find_out_at(&primary, term, ledger);
-                if let Ok(Ok(Some(resolution))) = tokio::time::timeout(ATTEMPT_LIMIT, attempt).await
-                {
-                    return resolution;
+                match tokio::time::timeout(ATTEMPT_LIMIT, attempt).await {
+                    Ok(Ok(Some(resolution))) => return resolution,
+                    Ok(Ok(None)) => {}
+                    Ok(Err(error)) => log::debug!("the ledger at {primary} can't be read: {error}"),
+                    Err(_) => log::debug!("the ledger at {primary} did not answer in time"),
                 }
             }
             tokio::time::sleep(PAUSE).await;
--- a/crates/dyketally-proxy/src/home/shared.rs
+++ b/crates/dyketally-proxy/src/home/shared.rs
@@ -230,6 +230,7 @@
         let policy = policy.as_deref();
         let settings = dispatch_settings(policy, &self.routes, &self.options);
         self.dispatcher.configure(settings);
+        // A database that isn't configured has no members to ask.
         let targets = policy.map(|policy| self.probe_targets(policy));
         self.monitor.set_members(targets.unwrap_or_default());
     }
--- a/crates/dyketally-proxy/src/lib.rs
+++ b/crates/dyketally-proxy/src/lib.rs
@@ -1,5 +1,6 @@
 //! The proxy daemon: tokio and tower services around the coordination parts of `dyketally`.
 
+mod accept;
 pub mod admin;
 pub mod clock;
 pub mod edge;
--- a/crates/dyketally-proxy/src/link/client.rs
+++ b/crates/dyketally-proxy/src/link/client.rs
@@ -189,6 +189,7 @@
     async fn run(mut self, commands: &mut mpsc::Receiver<Command>) -> Result<(), LinkError> {
         let result = self.serve(commands).await;
         for (_, request) in self.in_flight.drain() {
+            // An edge that has gone needs no answer.
             let _ = request.reply.finish(Completion::Unknown {
                 reason: UnknownReason::HomeLost,
             });
--- a/crates/dyketally-proxy/src/link/server.rs
+++ b/crates/dyketally-proxy/src/link/server.rs
@@ -17,6 +17,7 @@
 
 use super::pull::answer_pull;
 use super::{HANDSHAKE_TIMEOUT, HomeCodec, LinkError, check_version};
+use crate::accept::accept;
 use crate::homes::Homes;
 use crate::reply::{HomeRequest, REPLY_CHUNKS_IN_FLIGHT, ReplyReceiver, reply_channel};
 use crate::stores::dissemination::Dissemination;
@@ -40,14 +41,10 @@
 /// Accepts links until `stop` is cancelled.
 pub async fn serve_links(listener: TcpListener, server: LinkServer, stop: CancellationToken) {
     loop {
-        let accepted = tokio::select! {
-            accepted = listener.accept() => accepted,
+        let (stream, address) = tokio::select! {
+            accepted = accept(&listener) => accepted,
             () = stop.cancelled() => return,
         };
-        let Ok((stream, address)) = accepted else {
-            tokio::time::sleep(crate::edge::ACCEPT_PAUSE).await;
-            continue;
-        };
         let server = server.clone();
         let stop = stop.child_token();
         tokio::spawn(async move {
--- a/crates/dyketally-proxy/src/settings/configuration_file.rs
+++ b/crates/dyketally-proxy/src/settings/configuration_file.rs
@@ -67,7 +67,14 @@
             let Some(name) = reader.required::<String>("name") else {
                 continue;
             };
-            let text = toml::to_string(entry).unwrap_or_default();
+            let text = match toml::to_string(entry) {
+                Ok(text) => text,
+                Err(error) => {
+                    let message = error.to_string();
+                    reader.table_fault(FaultKind::Syntax { message });
+                    continue;
+                }
+            };
             if documents
                 .of_kind_mut(kind)
                 .insert(name.clone(), text)
--- a/crates/dyketally-proxy/src/stores/dissemination.rs
+++ b/crates/dyketally-proxy/src/stores/dissemination.rs
@@ -225,6 +225,7 @@
                 Vec::new()
             }
             Message::Counters(sender) => {
+                // As above.
                 let _ = sender.send(self.synchronizer.counters());
                 Vec::new()
             }
--- a/crates/dyketally-proxy/src/stores/etcd/transport.rs
+++ b/crates/dyketally-proxy/src/stores/etcd/transport.rs
@@ -159,6 +159,7 @@
 async fn refusal(response: Response, effect: Effect) -> StoreError {
     let status = response.status();
     let retry_after = retry_after(response.headers());
+    // Where the body can't be read, the status alone says what is wrong.
     let body = response.bytes().await.unwrap_or_default();
     let body: ErrorBody = serde_json::from_slice(&body).unwrap_or_default();
     if status == StatusCode::TOO_MANY_REQUESTS {
@@ -193,6 +194,7 @@
 
 fn retry_after(headers: &HeaderMap) -> Duration {
     let seconds = headers.get(RETRY_AFTER);
+    // A time in another form, as a date, counts as none.
     let seconds = seconds.and_then(|value| value.to_str().ok()?.parse().ok());
     seconds.map_or(DEFAULT_RETRY_AFTER, Duration::from_secs)
 }
