--- a/crates/dyketally-lab/src/demo/failures.rs
+++ b/crates/dyketally-lab/src/demo/failures.rs
@@ -9,7 +9,7 @@
 
 use dyketally_proxy::stores::memory::{FaultPlan, Outage};
 
-use crate::bench::{
+use crate::testbed::{
     Caller, Mix, Recorder, Reply, SampleOutcome, Signal, Workload, WorkloadCaller, poll_until,
 };
 
--- a/crates/dyketally-lab/src/demo/mod.rs
+++ b/crates/dyketally-lab/src/demo/mod.rs
@@ -7,7 +7,7 @@
 
 use std::path::PathBuf;
 
-use crate::bench::Steps;
+use crate::testbed::Steps;
 
 use stage::Stage;
 
--- a/crates/dyketally-lab/src/demo/operators.rs
+++ b/crates/dyketally-lab/src/demo/operators.rs
@@ -5,7 +5,7 @@
 use dyketally::policy::Revision;
 use eyre::{OptionExt, ensure};
 
-use crate::bench::{CONFLICT, Operator, Site, poll_until, tenant_document};
+use crate::testbed::{CONFLICT, Operator, Site, poll_until, tenant_document};
 
 use super::stage::Stage;
 
--- a/crates/dyketally-lab/src/demo/sessions.rs
+++ b/crates/dyketally-lab/src/demo/sessions.rs
@@ -6,7 +6,7 @@
 use eyre::{OptionExt, ensure};
 use tokio::time::sleep;
 
-use crate::bench::{AdminClient, Caller, DATABASE, Reply, SessionClient};
+use crate::testbed::{AdminClient, Caller, DATABASE, Reply, SessionClient};
 
 use super::stage::{FIRST_TENANT, Stage, TERM_TENANT};
 
--- a/crates/dyketally-lab/src/demo/stage.rs
+++ b/crates/dyketally-lab/src/demo/stage.rs
@@ -5,7 +5,7 @@
 
 use dyketally::policy::Confirmation;
 
-use crate::bench::{AdminClient, Caller, Configuration, Group, Site, Tenant, Topology};
+use crate::testbed::{AdminClient, Caller, Configuration, Group, Site, Tenant, Topology};
 
 /// Time after which a caller of the demo gives up on a statement.
 const PATIENCE: Duration = Duration::from_secs(10);
--- a/crates/dyketally-lab/src/faults/case.rs
+++ b/crates/dyketally-lab/src/faults/case.rs
@@ -6,7 +6,7 @@
 use dyketally::policy::Confirmation;
 use dyketally_proxy::stores::memory::Outage;
 
-use crate::bench::{Configuration, Site, Workload};
+use crate::testbed::{Configuration, Site, Workload};
 
 /// One fault case: a site under load, and what befalls it.
 #[derive(Clone, Copy, Debug)]
--- a/crates/dyketally-lab/src/faults/history_file.rs
+++ b/crates/dyketally-lab/src/faults/history_file.rs
@@ -5,7 +5,7 @@
 use dyketally::history::{CheckSettings, Event, Violation, check, read_lines, write_line};
 use eyre::WrapErr;
 
-use crate::bench::Sample;
+use crate::testbed::Sample;
 
 /// Writes a history.
 ///
--- a/crates/dyketally-lab/src/faults/inject.rs
+++ b/crates/dyketally-lab/src/faults/inject.rs
@@ -8,9 +8,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::bench::{CommandResult, Member, Signal};
 use crate::database;
 use crate::network::{CutRequest, Passage, Place};
+use crate::testbed::{CommandResult, Member, Signal};
 
 use super::case::{Action, Direction, Target};
 use super::leaving::{announce, no_machines};
@@ -306,7 +306,7 @@
         self.stage.group.member(victim.name(&self.stage.topology))
     }
 
-    fn process(&mut self, victim: Victim) -> &mut crate::bench::ChildProcess {
+    fn process(&mut self, victim: Victim) -> &mut crate::testbed::ChildProcess {
         match victim {
             Victim::Database(number) => &mut self.stage.topology.databases[number],
             Victim::Proxy(number) => &mut self.stage.topology.proxies[number],
--- a/crates/dyketally-lab/src/faults/leaving.rs
+++ b/crates/dyketally-lab/src/faults/leaving.rs
@@ -3,7 +3,7 @@
 use dyketally::identifiers::{DatabaseName, Locality, RegionName, ZoneName};
 use dyketally_proxy::stores::machine_list::{Machine, MachineIdentity, MachineState, Machines};
 
-use crate::bench::Topology;
+use crate::testbed::Topology;
 
 /// A list without machines: nothing is announced.
 pub(super) fn no_machines() -> Machines {
--- a/crates/dyketally-lab/src/faults/mod.rs
+++ b/crates/dyketally-lab/src/faults/mod.rs
@@ -19,7 +19,7 @@
 use clap::ValueEnum;
 use eyre::ensure;
 
-use crate::bench::Steps;
+use crate::testbed::Steps;
 
 pub use case::{Action, Direction, FaultCase, Target, User};
 pub use history_file::{judge_file, read_history, write_history, write_samples};
--- a/crates/dyketally-lab/src/faults/observe.rs
+++ b/crates/dyketally-lab/src/faults/observe.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::bench::{AdminClient, Member, Recorder};
+use crate::testbed::{AdminClient, Member, Recorder};
 
 /// Time between two looks at a proxy or a database.
 const LOOK_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/dyketally-lab/src/faults/operators.rs
+++ b/crates/dyketally-lab/src/faults/operators.rs
@@ -4,7 +4,7 @@
 use eyre::{OptionExt, ensure};
 use tokio::task::JoinHandle;
 
-use crate::bench::{CONFLICT, CommandResult, Operator, tenant_document};
+use crate::testbed::{CONFLICT, CommandResult, Operator, tenant_document};
 
 use super::stage::Stage;
 
--- a/crates/dyketally-lab/src/faults/outcomes.rs
+++ b/crates/dyketally-lab/src/faults/outcomes.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::bench::{RequestKind, Sample, SampleOutcome};
+use crate::testbed::{RequestKind, Sample, SampleOutcome};
 
 /// Requests of a run by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/dyketally-lab/src/faults/settle.rs
+++ b/crates/dyketally-lab/src/faults/settle.rs
@@ -9,8 +9,8 @@
 use eyre::{OptionExt, ensure};
 use tokio::time::sleep;
 
-use crate::bench::{AdminClient, Configuration, Group, history_key, poll_until};
 use crate::database::{LogRecord, RowChange, RowWrite};
+use crate::testbed::{AdminClient, Configuration, Group, history_key, poll_until};
 
 use super::observe::Restarts;
 use super::stage::{NOT_POSTED, READY_LIMIT, Stage};
--- a/crates/dyketally-lab/src/faults/stage.rs
+++ b/crates/dyketally-lab/src/faults/stage.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::bench::{
+use crate::testbed::{
     AdminClient, Configuration, DATABASE, Group, InitialRows, Mix, Operator, Recorder, STOCK_VALUE,
     SessionClient, Topology, WorkloadCaller, history_key, poll_until,
 };
--- a/crates/dyketally-lab/src/faults/table/mod.rs
+++ b/crates/dyketally-lab/src/faults/table/mod.rs
@@ -10,7 +10,7 @@
 
 use dyketally::policy::Confirmation;
 
-use crate::bench::Configuration;
+use crate::testbed::Configuration;
 
 use super::case::{Action, FaultCase, User};
 
--- a/crates/dyketally-lab/src/faults/table/platform.rs
+++ b/crates/dyketally-lab/src/faults/table/platform.rs
@@ -2,7 +2,7 @@
 
 use dyketally_proxy::stores::memory::Outage;
 
-use crate::bench::Configuration;
+use crate::testbed::Configuration;
 
 use super::super::case::Action::{
     BeginPublish, EndPublish, KeyValueService, LapseLeases, LoseReplies, Publish, PublishTogether,
--- a/crates/dyketally-lab/src/faults/table/together.rs
+++ b/crates/dyketally-lab/src/faults/table/together.rs
@@ -2,7 +2,7 @@
 
 use dyketally_proxy::stores::memory::Outage;
 
-use crate::bench::Configuration;
+use crate::testbed::Configuration;
 
 use super::super::case::Action::{
     CaughtUp, Freeze, KeyValueService, Kill, Lag, Publish, Restart, Stop, Thaw, Wait,
--- a/crates/dyketally-lab/src/faults/victim.rs
+++ b/crates/dyketally-lab/src/faults/victim.rs
@@ -2,7 +2,7 @@
 
 use eyre::OptionExt;
 
-use crate::bench::{AdminClient, Group, Member, Topology, poll_until};
+use crate::testbed::{AdminClient, Group, Member, Topology, poll_until};
 
 use super::case::Target;
 
--- a/crates/dyketally-lab/src/load/idle.rs
+++ b/crates/dyketally-lab/src/load/idle.rs
@@ -6,7 +6,7 @@
 use futures::{StreamExt, TryStreamExt, stream};
 use tokio::time::sleep;
 
-use crate::bench::{DATABASE, SessionClient, Topology};
+use crate::testbed::{DATABASE, SessionClient, Topology};
 
 use super::TENANT;
 use super::result::{Figure, Goal};
--- a/crates/dyketally-lab/src/load/mod.rs
+++ b/crates/dyketally-lab/src/load/mod.rs
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use crate::bench::{DatabaseProperties, Site, Tenant, Topology};
+use crate::testbed::{DatabaseProperties, Site, Tenant, Topology};
 
 pub use result::{Figure, Goal, Line, LoadResult, Plot, Point, quantile};
 
--- a/crates/dyketally-lab/src/load/rate.rs
+++ b/crates/dyketally-lab/src/load/rate.rs
@@ -5,7 +5,7 @@
 use eyre::OptionExt;
 use tokio::task::JoinSet;
 
-use crate::bench::Topology;
+use crate::testbed::Topology;
 
 use super::result::Figure;
 use super::target::{Reader, Target, TargetKind};
--- a/crates/dyketally-lab/src/load/result.rs
+++ b/crates/dyketally-lab/src/load/result.rs
@@ -5,7 +5,7 @@
 use eyre::WrapErr;
 use serde::{Deserialize, Serialize};
 
-use crate::bench::Site;
+use crate::testbed::Site;
 
 /// Result of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/dyketally-lab/src/load/target.rs
+++ b/crates/dyketally-lab/src/load/target.rs
@@ -5,7 +5,7 @@
 use eyre::OptionExt;
 use tokio_postgres::Statement;
 
-use crate::bench::{DATABASE, Row, SessionClient, Topology};
+use crate::testbed::{DATABASE, Row, SessionClient, Topology};
 
 use super::{GROUP, TENANT};
 
--- a/crates/dyketally-lab/src/bench/mod.rs
+++ b/crates/dyketally-lab/src/testbed/mod.rs
@@ -1,4 +1,8 @@
-//! Orchestration of processes, workloads and histories, shared by the lab commands.
+//! The test bed: the processes of a site, their callers, and what these record, shared by the lab's
+//! commands.
+//!
+//! It owns the child processes and the files that they are started with; a process ends when its
+//! handle is dropped. It relies on the programs of the workspace being built beside the lab.
 
 mod admin;
 mod caller;
--- a/crates/dyketally-lab/tests/faults.rs
+++ b/crates/dyketally-lab/tests/faults.rs
@@ -10,12 +10,12 @@
 };
 use dyketally::identifiers::NodeName;
 use dyketally::policy::{Confirmation, Repeat};
-use dyketally_lab::bench::{Configuration, RequestKind, Sample, SampleOutcome};
 use dyketally_lab::database::{LogRecord, RowChange, RowKey, RowWrite};
 use dyketally_lab::faults::{
     Action, CaseReport, CaseSettings, FaultCase, Outcomes, Target, User, cases, judge_file,
     log_events, read_history, run_case, write_history,
 };
+use dyketally_lab::testbed::{Configuration, RequestKind, Sample, SampleOutcome};
 use rstest::rstest;
 
 fn write(request: u64, keys: &[&str], outcome: WriteOutcome) -> [Event; 2] {
--- a/crates/dyketally-lab/tests/load.rs
+++ b/crates/dyketally-lab/tests/load.rs
@@ -1,7 +1,7 @@
 //! Results of the load command: their figures, goals and file.
 
-use dyketally_lab::bench::Site;
 use dyketally_lab::load::{Figure, Goal, Line, LoadResult, Plot, Point, quantile};
+use dyketally_lab::testbed::Site;
 use rstest::rstest;
 
 fn result(name: &str) -> LoadResult {
--- a/crates/dyketally-lab/tests/bench.rs
+++ b/crates/dyketally-lab/tests/testbed.rs
@@ -1,12 +1,12 @@
-//! The bench: plans of sites, child processes, and steps.
+//! The test bed: plans of sites, child processes, and steps.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
-use dyketally_lab::bench::{
+use dyketally_lab::network::{ControlClient, Endpoint, NetworkSettings};
+use dyketally_lab::testbed::{
     Launcher, Plan, Program, Routes, Signal, Site, Steps, free_addresses, poll_until,
 };
-use dyketally_lab::network::{ControlClient, Endpoint, NetworkSettings};
 use rstest::rstest;
 
 const LIMIT: Duration = Duration::from_secs(30);
@@ -50,7 +50,7 @@
 
 #[tokio::test]
 async fn a_child_process_runs_freezes_thaws_and_ends() {
-    let logs = std::env::temp_dir().join(format!("dyketally-bench-{}", std::process::id()));
+    let logs = std::env::temp_dir().join(format!("dyketally-testbed-{}", std::process::id()));
     let launcher = Launcher::new(&logs).expect("a launcher");
     let control_address = free_addresses(1).expect("an address")[0];
     let settings = NetworkSettings {
