--- a/crates/dyketally/src/admission/gate.rs
+++ b/crates/dyketally/src/admission/gate.rs
@@ -56,12 +56,12 @@
         self.limit.admits(self.in_flight)
     }
 
-    /// Takes in that a statement begins.
+    /// Records that a statement begins.
     pub fn begins(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Takes in that a statement ended, however it did.
+    /// Records that a statement ended, however it did.
     pub fn ended(&mut self, now: Timestamp) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let waited = !self.waiting.is_empty();
@@ -73,7 +73,7 @@
         self.finished = waited.then_some(now);
     }
 
-    /// Takes in that the database ran a statement and took `elapsed` to answer it.
+    /// Records that the database ran a statement and took `elapsed` to answer it.
     pub fn ran(&mut self, elapsed: Duration) {
         self.limit.ran();
         self.answered_in.record(elapsed);
@@ -91,18 +91,18 @@
         }
     }
 
-    /// Takes in that the database turned a statement away.
+    /// Records that the database turned a statement away.
     pub fn turned_away(&mut self, now: Timestamp) {
         self.limit.turned_away(now);
     }
 
-    /// Takes in that someone waits.
+    /// Records that someone waits.
     pub fn waits(&mut self, now: Timestamp, rank: Rank) {
         self.waited_since.get_or_insert(now);
         *self.waiting.entry(rank).or_default() += 1;
     }
 
-    /// Takes in that someone no longer waits.
+    /// Records that someone no longer waits.
     pub fn waits_no_more(&mut self, rank: Rank) {
         if let Some(count) = self.waiting.get_mut(&rank) {
             *count -= 1;
--- a/crates/dyketally/src/admission/in_flight.rs
+++ b/crates/dyketally/src/admission/in_flight.rs
@@ -50,12 +50,12 @@
         f64::from(in_flight) < self.limit.floor().max(1.0)
     }
 
-    /// Takes in that the database ran a statement.
+    /// Records that the database ran a statement.
     pub fn ran(&mut self) {
         self.limit = (self.limit + 1.0 / self.limit.max(1.0)).min(self.ceiling);
     }
 
-    /// Takes in that it turned one away.
+    /// Records that it turned one away.
     pub fn turned_away(&mut self, now: Timestamp) {
         let counted = self
             .decreased
--- a/crates/dyketally/src/directory.rs
+++ b/crates/dyketally/src/directory.rs
@@ -85,7 +85,7 @@
 }
 
 impl Directory {
-    /// Takes in an announcement.
+    /// Records an announcement.
     pub fn announced(
         &mut self,
         now: Timestamp,
@@ -115,7 +115,7 @@
         role_changed.then_some(DirectoryChange::RoleChanged(name, role))
     }
 
-    /// Takes in that a database no longer announces itself. It may have left, or the store may
+    /// Records that a database no longer announces itself. It may have left, or the store may
     /// have lost the announcement: [`Directory::settle_unlisted`] decides.
     pub fn vanished(&mut self, now: Timestamp, name: &DatabaseName) {
         if let Some(member) = self.members.get_mut(name) {
@@ -147,7 +147,7 @@
         pending.filter_map(|member| member.unlisted_since).min()
     }
 
-    /// Takes in the full list of announcements: those it lacks have vanished.
+    /// Applies the full list of announcements: those it lacks have vanished.
     pub fn replaced(
         &mut self,
         now: Timestamp,
@@ -184,7 +184,7 @@
             .collect()
     }
 
-    /// Takes in that a database acted as primary: others that claim the role are out of date.
+    /// Records that a database acted as primary: others that claim the role are out of date.
     pub fn acted_as_primary(&mut self, name: &DatabaseName) {
         let newest = self.next_order;
         if let Some(member) = self.members.get_mut(name) {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Takes in that a database refused to act as primary.
+    /// Records that a database refused to act as primary.
     pub fn refused_as_primary(&mut self, name: &DatabaseName) {
         if let Some(member) = self.members.get_mut(name) {
             member.refuted = true;
--- a/crates/dyketally/src/eligibility/evacuations.rs
+++ b/crates/dyketally/src/eligibility/evacuations.rs
@@ -31,7 +31,7 @@
 }
 
 impl Evacuations {
-    /// Takes in a request to evacuate a zone. One that is known already keeps its time.
+    /// Records a request to evacuate a zone. One that is known already keeps its time.
     pub fn requested(&mut self, now: Timestamp, zone: ZoneName) -> Option<EvacuationChange> {
         if self.zones.contains_key(&zone) {
             return None;
@@ -40,13 +40,13 @@
         Some(EvacuationChange::Began(zone))
     }
 
-    /// Takes in that a zone is taken back.
+    /// Records that a zone is taken back.
     pub fn taken_back(&mut self, zone: &ZoneName) -> Option<EvacuationChange> {
         let removed = self.zones.remove(zone);
         removed.map(|_| EvacuationChange::Ended(zone.clone()))
     }
 
-    /// Takes in all requests that stand: those it lacks were taken back. A request that is new here
+    /// Records all requests that stand: those it lacks were taken back. A request that is new here
     /// may be old: the node has just started, or heard nothing for a while.
     pub fn replaced(&mut self, standing: &BTreeSet<ZoneName>) -> Vec<EvacuationChange> {
         let ended = self.zones.keys().filter(|zone| !standing.contains(*zone));
--- a/crates/dyketally/src/eligibility/moves.rs
+++ b/crates/dyketally/src/eligibility/moves.rs
@@ -25,12 +25,12 @@
         not_before.is_none_or(|not_before| now >= *not_before)
     }
 
-    /// Takes in that the primary of `group` is being moved, whatever comes of it.
+    /// Records that the primary of `group` is being moved, whatever comes of it.
     pub fn begun(&mut self, group: &GroupName, now: Timestamp) {
         self.not_before.insert(group.clone(), now + MOVE_PAUSE);
     }
 
-    /// Takes in that nothing was done about the primary of `group` yet, as no database could succeed.
+    /// Records that nothing was done about the primary of `group` yet, as no database could succeed.
     pub fn put_off(&mut self, group: &GroupName, now: Timestamp) {
         self.not_before.insert(group.clone(), now + PUT_OFF_PAUSE);
     }
--- a/crates/dyketally/src/failover/appointments.rs
+++ b/crates/dyketally/src/failover/appointments.rs
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Takes in that the service refused `token`: somebody may hold a greater one.
+    /// Records that the service refused `token`: somebody may hold a greater one.
     pub fn refused(&mut self, token: u64) {
         self.refused = self.refused.max(Some(token));
     }
 
-    /// Takes in that `database` is being appointed with `token`.
+    /// Records that `database` is being appointed with `token`.
     pub fn appointing(&mut self, group: &GroupName, database: &DatabaseName, token: u64) {
         self.last.insert(group.clone(), (token, database.clone()));
     }
--- a/crates/dyketally/src/failover/contact.rs
+++ b/crates/dyketally/src/failover/contact.rs
@@ -1,14 +1,15 @@
-//! Whether a node would hear that a primary is being replaced.
+//! Whether a node would have learned by now that a primary is being replaced.
 //!
-//! Whoever replaces a primary tells all nodes and the store. A node that has lately been in touch
-//! with the store, or with more than half of the nodes, would have heard. One that hasn't is
-//! isolated: before it trusts a primary it has to make sure that no other database leads.
+//! The failover coordinator announces a replacement to all nodes and to the store. A node that has
+//! lately had a reply from the store, or from more than half of the nodes, has received the
+//! announcement. A node without either is isolated: before it trusts a primary, it has to check that no
+//! other database leads.
 //!
-//! Beside this long contact there is a short one, so that nodes which are lost together with a primary
-//! needn't be waited for until their long contact has ended: the holder of the duty of replacing
-//! primaries grants it with each reply, and each reply tells which fences stand. While nobody grants, a
-//! reply of more than half of the nodes does as well. A node trusts a primary without asking only while
-//! it has both.
+//! Beside this long contact each node needs a short one. Without it, a coordinator would have to wait
+//! until the long contact of nodes that were lost together with a primary has ended. The coordinator
+//! grants the short contact with each reply, and each reply lists the fences that stand. While there is
+//! no coordinator, replies of more than half of the nodes count as a grant. A node trusts a primary
+//! without a check only while it has both.
 
 use std::time::Duration;
 
@@ -25,16 +26,16 @@
 pub const GRANT_INTERVAL: Duration = Duration::from_millis(100);
 /// Age of the short contact from which on a node looks for it elsewhere: two rounds were lost.
 pub const GRANT_LATE: Duration = Duration::from_millis(250);
-/// How long a node that was isolated may take to hear what it missed, once it is in touch again.
+/// How long a node that was isolated may take to receive what it missed, once replies arrive again.
 const CATCH_UP: Duration = Duration::from_secs(3);
 /// Age of the contact with the store from which on the other nodes are asked.
 const ASK_NODES_AFTER: Duration = Duration::from_millis(2_300);
 /// Pause between two rounds of asking them.
 const ASK_NODES_INTERVAL: Duration = Duration::from_millis(350);
-/// The same while nobody grants the short contact, which then rests on their replies.
+/// The same while no coordinator grants the short contact, which then rests on their replies.
 const ASK_NODES_INTERVAL_WITHOUT_GRANTS: Duration = Duration::from_millis(200);
 
-/// When a node was last in touch. All times are those at which it asked, not those of the replies.
+/// When a node last had replies. All times are those of the questions, not of the replies.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Contact {
     store: Option<Timestamp>,
@@ -42,12 +43,12 @@
     granted: Option<Timestamp>,
     /// When the store replied again after a silence that was too long.
     store_regained: Option<Timestamp>,
-    /// When it was in touch again after it had been isolated.
+    /// When replies arrived again after the node had been isolated.
     regained: Option<Timestamp>,
 }
 
 impl Contact {
-    /// Takes in that the store replied to what was asked at `asked`.
+    /// Records that the store replied to what was asked at `asked`.
     pub fn store_replied(&mut self, asked: Timestamp) {
         self.replied(asked);
         let lapsed = |at| asked.saturating_since(at) >= STORE_HOLDS;
@@ -57,8 +58,8 @@
         self.store = self.store.max(Some(asked));
     }
 
-    /// Since when the store may hold what this node doesn't know, also of what only the store tells;
-    /// `None` when that is too long ago, or the node is catching up.
+    /// The time up to which the node knows what the store held; `None` when that is too long ago, or the
+    /// node is still receiving what it missed.
     pub fn heard_store(&self, now: Timestamp) -> Option<Timestamp> {
         let within =
             |at: Option<Timestamp>, time| at.is_some_and(|at| now.saturating_since(at) < time);
@@ -66,21 +67,20 @@
         self.store.filter(|_| hears)
     }
 
-    /// Takes in that the node has given back its leases: what it hears from the store from now on
-    /// doesn't count.
+    /// Records that the node has given back its leases: replies of the store don't count from now on.
     pub fn store_given_up(&mut self) {
         if self.store.is_some() {
             self.store = Some(Timestamp::ZERO);
         }
     }
 
-    /// Takes in that more than half of the nodes replied to what was asked at `asked`.
+    /// Records that more than half of the nodes replied to what was asked at `asked`.
     pub fn majority_replied(&mut self, asked: Timestamp) {
         self.replied(asked);
         self.majority = self.majority.max(Some(asked));
     }
 
-    /// Takes in that the holder of the duty granted the short contact that was asked for at `asked`.
+    /// Records that the coordinator granted the short contact that was asked for at `asked`.
     pub fn granted(&mut self, asked: Timestamp) {
         self.granted = self.granted.max(Some(asked));
     }
@@ -112,8 +112,8 @@
             .is_some_and(|at| now.saturating_since(at) < CATCH_UP)
     }
 
-    /// True when the node would have heard of a primary that is replaced. A node that was never in
-    /// touch wouldn't: what it knows may come from others, or be old.
+    /// True when the node would know of a primary that is being replaced. Without any reply so far it
+    /// wouldn't: what it knows may be out of date.
     pub fn is_held(&self, now: Timestamp) -> bool {
         self.is_long_held(now) && self.is_short_held(now)
     }
--- a/crates/dyketally/src/failover/fence.rs
+++ b/crates/dyketally/src/failover/fence.rs
@@ -1,12 +1,12 @@
 //! When a fence around a primary is closed, so that a successor may be appointed.
 //!
 //! A node that confirms a fence no longer takes the primary for the leader of its group. A node
-//! that can't be asked may still use it, until it hears of the fence from the store or from another
-//! node, or [`Contact`](super::Contact) tells it that it is isolated. So a successor may be appointed
+//! that can't be reached may still use it, until it learns of the fence from the store or from another
+//! node, or finds by its [`Contact`](super::Contact) that it is isolated. So a successor may be appointed
 //! at once when all nodes confirm; when some don't, only once those are surely isolated. That is the
-//! case once nothing renews their short contact: the holder of the duty tells of the fence with each
-//! grant, and so does one of any half of the nodes once half of them have confirmed. The store has to
-//! tell of the fence by then, for nodes whose short contact comes back.
+//! case once nothing renews their short contact: each grant of the coordinator lists the fence, and so
+//! do the replies of half of the nodes once half of them have confirmed. The store has to hold the
+//! fence by then, for nodes whose short contact is renewed later.
 
 use std::time::Duration;
 
@@ -15,19 +15,18 @@
 
 /// Allowed for clocks that run at different rates, and for messages under way.
 const MARGIN: Duration = Duration::from_millis(300);
-/// Once the store has told of a fence for this long, no node that missed it is in touch with the
-/// store.
+/// Once the store has held a fence for this long, a node that missed it has no contact with the store.
 const STORE_ISOLATES: Duration = STORE_HOLDS.saturating_add(MARGIN);
 /// Allowed for clocks that run at different rates over the short contact: 30% of it.
 const SHORT_MARGIN: Duration = Duration::from_millis(150);
-/// Once the holder of the duty has had a fence, and half of the nodes have confirmed it, for this long,
-/// a node that missed it has no short contact.
+/// Once the coordinator has had a fence, and half of the nodes have confirmed it, for this long, a node
+/// that missed it has no short contact.
 const SHORT_ISOLATES: Duration = SHORT_HOLDS.saturating_add(SHORT_MARGIN);
-/// How long whoever takes the duty grants no short contact. A fence of the former holder may have closed
-/// by the end of short contacts just before, and a node that missed it may be told of by nobody else;
-/// by then its long contact has ended, too.
+/// How long a new coordinator grants no short contact. A fence of the former coordinator may have closed
+/// because short contacts had ended; a node that missed this fence may learn of it from nobody else, and
+/// must not regain its short contact before its long contact has ended, too.
 pub const GRANTS_SETTLE: Duration = STORE_ISOLATES;
-/// How long nodes that don't confirm are asked while too few confirm or the store isn't told.
+/// How long nodes that don't confirm are asked while too few confirm or the store doesn't hold the fence.
 const GIVE_UP: Duration = Duration::from_secs(4);
 
 /// What follows for the fence.
@@ -51,18 +50,19 @@
     /// Nodes that didn't confirm and are known to be isolated.
     lapsed: usize,
     contested: bool,
-    /// True once the lease on the duty may have ended: the store may tell of the fence no longer, and
-    /// somebody else grant the short contact.
+    /// True once the coordinator's lease may have ended: the store may no longer hold the fence, and
+    /// another coordinator may grant the short contact.
     lease_broken: bool,
     began: Timestamp,
     /// Since when half of the nodes have confirmed.
     quorum: Option<Timestamp>,
-    /// Since when the store tells of the fence.
+    /// Since when the store holds the fence.
     published: Option<Timestamp>,
 }
 
 impl FenceRound {
-    /// Begins at `now`, when the asking node has put up the fence itself, where `nodes` may use the primary, the asking one included.
+    /// Begins at `now`, when the coordinator has put up the fence itself. `nodes` may use the primary,
+    /// the coordinator included.
     pub fn new(now: Timestamp, nodes: usize) -> Self {
         Self {
             nodes,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes in that one more node no longer uses the primary.
+    /// Records that one more node no longer uses the primary.
     pub fn confirmed(&mut self, now: Timestamp) {
         self.confirmed += 1;
         if self.confirmed * 2 >= self.nodes {
@@ -84,26 +84,26 @@
         }
     }
 
-    /// Takes in how many of the nodes that didn't confirm are isolated already: a lease has lapsed by
-    /// whose renewals alone they count as in touch with the store, and no node that confirmed has
-    /// lately given them a sign of life.
+    /// Records how many of the nodes that didn't confirm are isolated already: the lease has lapsed
+    /// whose renewals alone give them contact with the store, and no node that confirmed has lately
+    /// answered them.
     pub fn lapsed(&mut self, nodes: usize) {
         self.lapsed = nodes;
     }
 
-    /// Takes in that the asking node's lease on the duty may have ended: for the rest of the round only
-    /// nodes that confirm count.
+    /// Records that the coordinator's lease may have ended: for the rest of the round only nodes that
+    /// confirm count.
     pub fn lease_broken(&mut self) {
         self.lease_broken = true;
         self.published = None;
     }
 
-    /// Takes in that the primary has answered some node since it was suspected.
+    /// Records that the primary has answered some node since it was suspected.
     pub fn contested(&mut self) {
         self.contested = true;
     }
 
-    /// Takes in that nodes in touch with the store hear of the fence there.
+    /// Records that the store holds the fence, where nodes with contact to it read it.
     pub fn published(&mut self, now: Timestamp) {
         if !self.lease_broken {
             self.published.get_or_insert(now);
--- a/crates/dyketally/src/failover/fences.rs
+++ b/crates/dyketally/src/failover/fences.rs
@@ -8,30 +8,30 @@
 use crate::identifiers::DatabaseName;
 use crate::time::Timestamp;
 
-/// How long a fence stands that nobody lifts.
+/// How long a fence stands that is never lifted.
 pub const FENCE_HOLDS: Duration = Duration::from_secs(8);
 
 /// One round of fences around a database; its number is drawn at random as it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FenceId(pub u64);
 
-/// A fence as one node tells another of it.
+/// A fence as one node sends it to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StandingFence {
     /// The database.
     pub database: DatabaseName,
     /// The round.
     pub id: FenceId,
-    /// How long ago it was put up, here or at the node that told of it.
+    /// How long ago it was put up, here or at the node that sent it.
     pub age: Duration,
 }
 
-/// Fences by the time at which they were put up first, here or at the node that told of them.
+/// Fences by the time at which they were put up first, here or at the node that sent them.
 ///
-/// Nodes tell each other of fences, so one that was lifted must not come back by way of a node that
-/// doesn't know yet: what is heard counts only if its round wasn't lifted here and it was put up after
-/// the last time that a fence around the database was, and it never makes a fence last longer. Times
-/// alone don't suffice: a node that is farther away puts a fence up later than a nearer one lifts it.
+/// Nodes exchange their fences, so a lifted one must not come back from a node that hasn't learned of
+/// it yet. A received fence counts only if its round wasn't lifted here and it was put up after the last
+/// fence around the database was lifted; it never makes a fence last longer. Times alone don't suffice:
+/// a node that is farther away puts a fence up later than a nearer one lifts it.
 #[derive(Clone, Debug, Default)]
 pub struct Fences {
     standing: HashMap<DatabaseName, (FenceId, Timestamp)>,
@@ -40,7 +40,7 @@
 }
 
 impl Fences {
-    /// Puts up a fence at `now`; false when its round was lifted before this node heard of it.
+    /// Puts up a fence at `now`; false when its round was lifted before it reached this node.
     pub fn put_up(&mut self, now: Timestamp, database: DatabaseName, id: FenceId) -> bool {
         let is_recent = |at: &Timestamp| now.saturating_since(*at) < FENCE_HOLDS;
         self.standing.retain(|_, (_, began)| is_recent(began));
@@ -53,7 +53,7 @@
         true
     }
 
-    /// Takes in that another node has a fence.
+    /// Records that another node has a fence.
     pub fn heard(&mut self, now: Timestamp, fence: StandingFence) {
         let began = now - fence.age;
         let lifted = self.lifted.get(&fence.database);
--- a/crates/dyketally/src/freshness/lag.rs
+++ b/crates/dyketally/src/freshness/lag.rs
@@ -21,7 +21,7 @@
 }
 
 impl LagEstimate {
-    /// Takes in that a replica held, or lacked, a position of which it was known for `age` that the
+    /// Records that a replica held, or lacked, a position of which it was known for `age` that the
     /// primary held it.
     pub fn record(&mut self, now: Timestamp, age: Duration, held: bool) {
         let lag = self.value(now);
--- a/crates/dyketally/src/placement/mod.rs
+++ b/crates/dyketally/src/placement/mod.rs
@@ -35,7 +35,7 @@
     pub locality: &'a Locality,
     /// Its share of the databases relative to other nodes of its zone; 0 to take none.
     pub weight: u16,
-    /// The node has told that it leaves: chosen only when no other node is left.
+    /// The node has announced that it leaves: chosen only when no other node is left.
     pub leaving: bool,
     /// How much its link carries.
     pub link: LinkClass,
@@ -119,8 +119,8 @@
 }
 
 /// The nodes of the zone at `locality` that watch the platform's service for the whole zone. Those whose
-/// links carry most go first: a relay takes in each change as the service has it, and sends it to all
-/// nodes that follow it.
+/// links carry most go first: a relay receives each change from the service, and sends it to all nodes
+/// that subscribe to it.
 pub fn relays<'a>(
     locality: &Locality,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
--- a/crates/dyketally/src/quota/allowance.rs
+++ b/crates/dyketally/src/quota/allowance.rs
@@ -81,7 +81,7 @@
         1 + ahead as u32
     }
 
-    /// Takes in a grant of `operations`, of which one is used at once.
+    /// Records a grant of `operations`, of which one is used at once.
     pub fn granted(&mut self, now: Timestamp, operations: u32, strained: bool) {
         self.strained = strained;
         self.alone_next = None;
--- a/crates/dyketally/src/slow_start/pacer.rs
+++ b/crates/dyketally/src/slow_start/pacer.rs
@@ -16,7 +16,7 @@
         self.next.saturating_since(now)
     }
 
-    /// Takes in that `requests` are sent now, which lie `interval` apart on average.
+    /// Records that `requests` are sent now, which lie `interval` apart on average.
     pub fn sent(&mut self, now: Timestamp, requests: u32, interval: Duration) {
         let begins = self.next.max(now);
         self.next = begins + interval.saturating_mul(requests);
--- a/crates/dyketally/src/slow_start/tenure.rs
+++ b/crates/dyketally/src/slow_start/tenure.rs
@@ -17,7 +17,7 @@
 }
 
 impl Tenure {
-    /// Takes in whether the node is a holder by the list that it has now.
+    /// Records whether the node is a holder by the list that it has now.
     pub fn update(&mut self, now: Timestamp, holds: bool) {
         match holds {
             true => {
--- a/crates/dyketally/src/slow_start/throttle.rs
+++ b/crates/dyketally/src/slow_start/throttle.rs
@@ -32,7 +32,7 @@
 }
 
 impl Throttle {
-    /// Takes in how the database's group starts; `None` where its databases are never cold.
+    /// Records how the database's group starts; `None` where its databases are never cold.
     pub fn set_rule(&mut self, rule: Option<SlowStart>, margin: Margin) {
         self.rule = rule.map(|rule| (rule, Budget::of(rule.rate, margin)));
     }
@@ -42,7 +42,7 @@
         &mut self.warmth
     }
 
-    /// Takes in whether this node sends to it while it is cold, by the list of nodes that it has now.
+    /// Records whether this node sends to it while it is cold, by the list of nodes that it has now.
     pub fn hold(&mut self, now: Timestamp, holds: bool) {
         self.tenure.update(now, holds);
     }
@@ -94,7 +94,7 @@
         rule.map_or(Duration::ZERO, |(_, budget)| budget.interval)
     }
 
-    /// Takes in that `requests` are sent now.
+    /// Records that `requests` are sent now.
     pub fn sent(&mut self, now: Timestamp, requests: u32) {
         if self.is_cold(now) {
             self.pacer.sent(now, requests, self.interval());
--- a/crates/dyketally/src/slow_start/warmth.rs
+++ b/crates/dyketally/src/slow_start/warmth.rs
@@ -37,7 +37,7 @@
 }
 
 impl Warmth {
-    /// Takes in an announcement by which the database is cold for `cold_for` from now. Announcements
+    /// Records an announcement by which the database is cold for `cold_for` from now. Announcements
     /// come late, so it is warm by then. The first one may be left over from before a start.
     pub fn announced(&mut self, now: Timestamp, cold_for: Duration) {
         if !cold_for.is_zero() {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes in that the database may start again from now on: its connections broke, it can't be
+    /// Records that the database may start again from now on: its connections broke, it can't be
     /// reached, or it no longer announces itself.
     pub fn doubted(&mut self, now: Timestamp) {
         self.doubt = Some(Doubt {
@@ -60,7 +60,7 @@
         });
     }
 
-    /// Takes in that a connection answered that was opened at `opened`.
+    /// Records that a connection answered that was opened at `opened`.
     pub fn answered(&mut self, now: Timestamp, opened: Timestamp) {
         if self.doubt.is_some_and(|doubt| opened < doubt.since) {
             // It has run all the time.
@@ -69,7 +69,7 @@
         self.ran(now);
     }
 
-    /// Takes in that it runs: it answered this node or another one.
+    /// Records that it runs: it answered this node or another one.
     pub fn ran(&mut self, now: Timestamp) {
         if let Some(doubt) = &mut self.doubt {
             doubt.reached.get_or_insert(now);
--- a/crates/dyketally/src/tenant/key_trust.rs
+++ b/crates/dyketally/src/tenant/key_trust.rs
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Takes in that the configuration which the node has was the newest one at `at`.
+    /// Records that the configuration which the node has was the newest one at `at`.
     pub fn confirm(&mut self, at: Timestamp) {
         self.confirmed = self.confirmed.max(Some(at));
     }
 
-    /// Takes in that another node, asked at `asked`, has passed on everything that was the newest
+    /// Records that another node, asked at `asked`, has passed on everything that was the newest
     /// `age` before. It says nothing if that lies before the start of this node's clock.
     pub fn confirm_relayed(&mut self, asked: Timestamp, age: Duration) {
         if asked.saturating_since(Timestamp::ZERO) >= age {
