--- a/crates/dyketally-gateway/src/event.rs
+++ b/crates/dyketally-gateway/src/event.rs
@@ -9,7 +9,6 @@
 use tokio::time::Instant;
 
 use crate::counters::Counters;
-use crate::store::feed::Form;
 
 /// Lines written per second; further ones are counted.
 const LINES_PER_SECOND: u32 = 60;
@@ -274,12 +273,28 @@
     },
 }
 
+/// How much of the configuration a message holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Form {
+    /// All keys.
+    Copy,
+    /// One key with its new value.
+    Change,
+    /// One key with what is new in its value.
+    Difference,
+}
+
+/// One line of the log.
 #[derive(Serialize)]
-struct Line<'a> {
-    at_ms: u64,
-    dropped: u32,
+pub struct Line<'a> {
+    /// Milliseconds since the start of the process.
+    pub at_ms: u64,
+    /// Lines that were dropped since the one before.
+    pub dropped: u32,
+    /// What happened.
     #[serde(flatten)]
-    event: &'a Event<'a>,
+    pub event: &'a Event<'a>,
 }
 
 /// Writes events to standard output.
@@ -291,9 +306,9 @@
     buffer: RefCell<Vec<u8>>,
 }
 
-impl EventLog {
+impl Default for EventLog {
     /// A log that starts now.
-    pub fn new() -> Self {
+    fn default() -> Self {
         Self {
             started: Instant::now(),
             second: Cell::new(0),
@@ -302,7 +317,9 @@
             buffer: RefCell::default(),
         }
     }
+}
 
+impl EventLog {
     /// Writes an event, or counts it when this second's lines are used up.
     pub fn write(&self, event: &Event<'_>) {
         let elapsed = self.started.elapsed();
--- a/crates/dyketally-gateway/src/statement/checkout.rs
+++ b/crates/dyketally-gateway/src/statement/checkout.rs
@@ -5,58 +5,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dyketally::admission::Patience;
-use dyketally::eligibility::{Permission, ServingRegions};
+use dyketally::eligibility::Permission;
 use dyketally::identifiers::DatabaseName;
 use dyketally::statement::FailureKind;
 use tokio::time::Instant;
 
-use crate::database::connection::{Answer, Broken, OpenError, leave_idle};
+use crate::database::batch::{Batch, Reset};
+use crate::database::claim::failure_kind;
+use crate::database::claim::{Claim, Refusal};
+use crate::database::connection::{Answer, Broken, leave_idle};
 use crate::database::health::InFlight;
-use crate::database::loading::LONGEST_TURN;
-use crate::database::pool::{self, CheckoutError};
-use crate::fleet::homes::Reach;
+use crate::database::pacer::LONGEST_TURN;
+use crate::database::pool;
+use crate::database::target::Target;
+use crate::fleet::access::Access;
 use crate::fleet::link::{CallError, HomeCall};
 use crate::gateway::Gateway;
-use crate::ports::{DatabaseUser, OwnStatement};
-use crate::statement::batch::{Batch, Reset};
-use crate::statement::eligibility::failure_kind;
-use crate::statement::target::Target;
+use crate::ports::OwnStatement;
 
 /// Silence after which a primary is probed while a statement goes on waiting for it.
 const SILENCE: Duration = Duration::from_millis(200);
 /// Longest time that dropping a transaction may take before its connection is closed instead.
 const ROLLBACK_LIMIT: Duration = Duration::from_secs(2);
 
-/// Rank and patience of whoever wants a connection.
-#[derive(Clone, Debug)]
-pub struct Claim {
-    /// Rank under scarcity; 0 goes first.
-    pub priority: u32,
-    /// How long it may wait for a database to be reached.
-    pub until: Instant,
-    /// How long it may wait behind others.
-    pub patience: Patience,
-    /// What the connection is wanted for.
-    pub work: Work,
-    /// In whose name the connection must be open; `None` where any will do, as for statements of the
-    /// gateway's own.
-    pub user: Option<DatabaseUser>,
-    /// Through which regions' nodes it may go.
-    pub regions: ServingRegions,
-}
-
-/// What a connection is wanted for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Work {
-    /// A database's status and the steps of a succession, which a cold database gets at any time.
-    Control,
-    /// Single statements: the connection is free again once they are answered.
-    Statements,
-    /// A transaction, which keeps the connection for as long as its caller likes.
-    Transaction,
-}
-
 /// A connection in use. Dropping it closes the connection; [`Checkout::give_back`] keeps it.
 pub enum Checkout {
     /// Of this node's own pool.
@@ -151,13 +122,13 @@
         values: &BTreeMap<String, String>,
         claim: Claim,
     ) -> Result<Checkout, FailureKind> {
-        match self.reach(&target.name, &claim) {
-            Reach::Via(homes) => {
+        match self.fleet.access_to(&self.databases, &target.name, &claim) {
+            Access::ViaHomes(homes) => {
                 let call = HomeCall::new(self.clone(), target.name.clone(), homes, claim);
                 Ok(Checkout::Remote(call))
             }
-            Reach::Own => {
-                let checkout = self.own_checkout(target, values, claim);
+            Access::Own => {
+                let checkout = self.databases.checkout(target, values, claim);
                 Ok(Checkout::Own(
                     checkout.await.map_err(|refusal| refusal.kind)?,
                 ))
@@ -165,43 +136,6 @@
         }
     }
 
-    /// A connection of this node's own to `target`, or why there is none.
-    pub async fn own_checkout(
-        self: &Rc<Self>,
-        target: &Target,
-        values: &BTreeMap<String, String>,
-        claim: Claim,
-    ) -> Result<pool::Checkout, Refusal> {
-        let pool = &target.state.pool;
-        let checkout = pool.checkout(values, claim);
-        checkout.await.map_err(|error| {
-            let (kind, unreachable) = match error {
-                CheckoutError::Exhausted => (FailureKind::NoConnection, false),
-                CheckoutError::QueueTooLong => (FailureKind::QueueTooLong, false),
-                CheckoutError::Denied(denial) => {
-                    self.counters.denied.add(denial.kind(), 1);
-                    (failure_kind(denial), false)
-                }
-                CheckoutError::Open(OpenError::TurnedAway(failure)) => {
-                    (failure.kind, failure.kind == FailureKind::WrongDatabase)
-                }
-                CheckoutError::Open(OpenError::Refused | OpenError::Silent) => {
-                    (FailureKind::Busy, true)
-                }
-            };
-            if unreachable {
-                self.unreachable(target);
-            }
-            Refusal { kind, unreachable }
-        })
-    }
-
-    /// Takes in that `target` can't be reached.
-    pub fn unreachable(self: &Rc<Self>, target: &Target) {
-        target.state.failed();
-        self.suspect_primary(target);
-    }
-
     /// Runs a batch at `target` and reads the answers; probes it if it stays silent.
     ///
     /// # Errors
@@ -245,7 +179,7 @@
     fn unanswered(self: &Rc<Self>, target: &Target, is_own: bool, error: CallError) -> Unanswered {
         match error {
             CallError::DatabaseBroke(broken) if is_own => {
-                self.unreachable(target);
+                self.databases.unreachable(target);
                 Unanswered::Lost(broken)
             }
             CallError::DatabaseBroke(broken) => {
@@ -262,12 +196,3 @@
         }
     }
 }
-
-/// Why no connection was handed out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Refusal {
-    /// What the caller may be told.
-    pub kind: FailureKind,
-    /// True when the database can't be reached.
-    pub unreachable: bool,
-}
--- a/crates/dyketally-gateway/src/succession/failover.rs
+++ b/crates/dyketally-gateway/src/succession/failover.rs
@@ -11,12 +11,12 @@
 use dyketally::identifiers::{DatabaseName, GroupName};
 use tokio::time::Instant;
 
+use crate::database::target::Target;
 use crate::event::Event;
 use crate::fleet::peer::{Peers, Vote};
 use crate::gateway::Gateway;
 use crate::ports::PrimaryControl;
-use crate::statement::target::Target;
-use crate::succession::duty::DutyKeeper;
+use crate::succession::coordinator::CoordinatorKeeper;
 use crate::succession::fence::FenceKeeper;
 use crate::succession::probe::PROBE_LIMIT;
 
@@ -39,7 +39,7 @@
 /// Replaces primaries while this node has the duty.
 pub struct Failover {
     pub(super) gateway: Rc<Gateway>,
-    pub(super) duty: Rc<DutyKeeper>,
+    pub(super) coordinator: Rc<CoordinatorKeeper>,
     pub(super) peers: Rc<Peers>,
     pub(super) control: Rc<dyn PrimaryControl>,
     pub(super) fences: FenceKeeper,
@@ -86,17 +86,11 @@
     }
 }
 
-impl std::fmt::Debug for Target {
-    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "{}", self.name)
-    }
-}
-
 impl Failover {
     /// A replacer that isn't running yet.
     pub fn new(
         gateway: Rc<Gateway>,
-        duty: Rc<DutyKeeper>,
+        coordinator: Rc<CoordinatorKeeper>,
         peers: Rc<Peers>,
         control: Rc<dyn PrimaryControl>,
         fences: FenceKeeper,
@@ -104,7 +98,7 @@
         Rc::new(Self {
             fences,
             gateway,
-            duty,
+            coordinator,
             peers,
             control,
             busy: RefCell::default(),
@@ -117,22 +111,22 @@
     /// Looks after all groups whenever there is reason to, forever.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let attention = self.gateway.membership.attention.notified();
-            match self.gateway.membership.last_duty() {
+            let attention = self.gateway.fleet.coordinator.attention.notified();
+            match self.gateway.fleet.coordinator.last_term() {
                 Some(_) => {
                     // Either way it is time to look.
                     let _ = tokio::time::timeout(LOOK_INTERVAL, attention).await;
                 }
                 None => attention.await,
             }
-            if self.gateway.membership.last_duty().is_some() {
+            if self.gateway.fleet.coordinator.last_term().is_some() {
                 self.look_at_all();
             }
         }
     }
 
     fn look_at_all(self: &Rc<Self>) {
-        let groups = self.gateway.directory.borrow().groups();
+        let groups = self.gateway.databases.directory.borrow().groups();
         for group in groups {
             if !self.busy.borrow_mut().insert(group.clone()) {
                 continue;
@@ -152,12 +146,12 @@
         self.step(group, "start", format!("{cause:?}"));
         if !self.replace(group, &cause).await {
             tokio::time::sleep(RETRY_PAUSE).await;
-            self.gateway.membership.attention.notify_one();
+            self.gateway.fleet.coordinator.attention.notify_one();
         }
     }
 
     pub(super) fn step(&self, group: &GroupName, step: &str, detail: String) {
-        self.gateway.events.write(&Event::FailoverStep {
+        self.gateway.cx.events.write(&Event::FailoverStep {
             group: group.as_str(),
             step,
             detail,
@@ -165,7 +159,7 @@
     }
 
     async fn cause(self: &Rc<Self>, group: &GroupName) -> Option<Cause> {
-        let holds = self.gateway.membership.duty().is_some();
+        let holds = self.gateway.fleet.coordinator.term().is_some();
         let Some((primary, state)) = self.known_primary(group) else {
             return match holds {
                 true => self.leaderless(group).await,
@@ -180,8 +174,8 @@
             _ => {}
         }
         if holds
-            && self.gateway.is_evacuated(&primary.zone)
-            && self.gateway.has_successor(group, &primary.name)
+            && self.gateway.databases.is_evacuated(&primary.zone)
+            && self.gateway.databases.has_successor(group, &primary.name)
         {
             return Some(Cause::Evacuated(primary));
         }
@@ -223,8 +217,8 @@
 
     /// Where the group should be led from rather than by `primary`, if it is time to move it.
     fn better_regions(&self, group: &GroupName, primary: &Target) -> Option<ServingRegions> {
-        let regions = self.gateway.preferred_regions(primary)?;
-        let now = self.gateway.now();
+        let regions = self.gateway.databases.preferred_regions(primary)?;
+        let now = self.gateway.cx.now();
         let may_begin = self.moves.borrow().may_begin(group, now);
         may_begin.then_some(regions)
     }
@@ -233,33 +227,33 @@
     /// to move it. Where regions are bound the place of the primary goes first.
     fn is_cold_without_need(&self, group: &GroupName, primary: &Target) -> bool {
         let gateway = &self.gateway;
-        let cold_for = gateway.loading(&primary.name).announced_cold_for();
+        let cold_for = gateway.databases.pacer(&primary.name).announced_cold_for();
         cold_for >= COLD_WORTH_MOVING
-            && !gateway.routes().binds_regions()
-            && gateway.has_warm_successor(group, &primary.name)
-            && self.moves.borrow().may_begin(group, gateway.now())
+            && !gateway.cx.routes().binds_regions()
+            && gateway.databases.has_warm_successor(group, &primary.name)
+            && self.moves.borrow().may_begin(group, gateway.cx.now())
     }
 
     fn suspicions(&self) -> &RefCell<HashMap<(GroupName, DatabaseName), Instant>> {
-        &self.gateway.membership.suspicions
+        &self.gateway.fleet.coordinator.suspicions
     }
 
     fn known_primary(&self, group: &GroupName) -> Option<(Target, MemberState)> {
-        let directory = self.gateway.directory.borrow();
+        let directory = self.gateway.databases.directory.borrow();
         let primary = directory.primary(group)?;
-        Some((self.gateway.target(primary, true), primary.state))
+        Some((self.gateway.databases.target(primary, true), primary.state))
     }
 
     async fn leaderless(self: &Rc<Self>, group: &GroupName) -> Option<Cause> {
         let until = Instant::now() + LEADERLESS;
         while Instant::now() < until {
             self.gateway.search_primary(group);
-            self.gateway.next_change(until).await;
+            self.gateway.cx.changes.next(until).await;
             if self.known_primary(group).is_some() {
                 return None;
             }
         }
-        if !self.gateway.directory_is_settled() {
+        if !self.gateway.databases.directory_is_settled() {
             return None;
         }
         Some(Cause::Leaderless)
@@ -277,13 +271,12 @@
         let own = self.gateway.evidence_of(primary);
         tokio::pin!(own);
         let mut own_known = false;
-        let membership = &self.gateway.membership;
         loop {
             let vote: Option<Vote> = tokio::select! {
                 evidence = &mut own, if !own_known => {
                     own_known = true;
-                    let store_lost = membership.store_lost();
-                    let from = self.gateway.settings.listen.peers;
+                    let store_lost = self.gateway.cx.store_health.is_lost();
+                    let from = self.gateway.cx.settings.listen.peers;
                     Some(Vote { evidence, store_lost, from })
                 }
                 vote = poll.votes.receiver.recv() => vote,
@@ -296,10 +289,10 @@
                 }
                 None => result.complete = true,
             }
-            result.lease_runs = membership.duty().is_some();
+            result.lease_runs = self.gateway.fleet.coordinator.term().is_some();
             let verdict = judge(&result);
             if verdict != Verdict::Undecided || result.complete {
-                self.gateway.events.write(&Event::PrimaryPolled {
+                self.gateway.cx.events.write(&Event::PrimaryPolled {
                     group: primary.group.as_str(),
                     database: primary.name.as_str(),
                     evidence: format!("{:?} of {nodes}", result.evidence),
