--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -10,8 +10,9 @@
 use crate::database::claim::Work;
 use crate::database::connection::{Answer, Broken};
 use crate::database::target::Target;
+use crate::fleet::access::ExchangeError;
+use crate::fleet::connection::DatabaseConnection;
 use crate::gateway::Gateway;
-use crate::statement::checkout::{Checkout, Unanswered};
 use crate::statement::request::{Request, Served, Stage};
 
 /// Pause before a statement that was not run is sent again.
@@ -38,7 +39,12 @@
                 .group(group)
                 .availability
                 .wait_until(request.give_up());
-            let target = match self.primary_by(group, &request.regions, patience).await {
+            let target = match self
+                .leadership
+                .confirmations
+                .primary_by(group, &request.regions, patience)
+                .await
+            {
                 Ok(target) => target,
                 Err(denial) if denial.is_lasting() => {
                     self.report_served_nowhere(&request.route, &request.regions, denial);
@@ -89,12 +95,14 @@
             checkout.give_back();
         }
         match &answer.end {
-            Ok(_) if !self.is_upheld(target).await => return Attempt::Lost(Broken::replaced()),
+            Ok(_) if !self.leadership.checks.is_upheld(target).await => {
+                return Attempt::Lost(Broken::replaced());
+            }
             Ok(_) => self.databases.observe(&target.group, answer.position, sent),
             Err(failure) if failure.kind.not_run() => {
                 hand_over.rejected();
                 if failure.kind == FailureKind::ReadOnly {
-                    self.follows(target);
+                    self.leadership.confirmations.refused_as_primary(target);
                 }
                 return Attempt::NotRun(failure.kind);
             }
@@ -109,17 +117,19 @@
         request: &Request,
         target: &Target,
         work: Work,
-    ) -> Result<Checkout, FailureKind> {
-        let checkout = self.checkout_for(target, &request.values, request.claim(work));
+    ) -> Result<DatabaseConnection, FailureKind> {
+        let checkout = self
+            .access
+            .connect(target, &request.values, request.claim(work));
         checkout.await
     }
 }
 
-impl From<Unanswered> for Attempt {
-    fn from(unanswered: Unanswered) -> Self {
+impl From<ExchangeError> for Attempt {
+    fn from(unanswered: ExchangeError) -> Self {
         match unanswered {
-            Unanswered::NotRun(kind) => Self::NotRun(kind),
-            Unanswered::Lost(broken) => Self::Lost(broken),
+            ExchangeError::NotRun(kind) => Self::NotRun(kind),
+            ExchangeError::Lost(broken) => Self::Lost(broken),
         }
     }
 }
