--- a/crates/dyketally-gateway/src/fleet/forwarding.rs
+++ b/crates/dyketally-gateway/src/fleet/forwarding.rs
@@ -1,6 +1,5 @@
-//! Connections that other nodes open to this one, and connections to a database by way of another node
-//! for nodes that are cut off from it. A node that forwards a connection only moves bytes: the node that
-//! opened it speaks to the database itself.
+//! Connections to a database by way of another node, for nodes that are cut off from it. A node that
+//! forwards a connection only moves bytes: the node that opened it speaks to the database itself.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,42 +8,18 @@
 use async_trait::async_trait;
 use dyketally::failover::Evidence;
 use dyketally::identifiers::DatabaseName;
-use futures::future::LocalBoxFuture;
-use serde::{Deserialize, Serialize};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::context::accept;
 use crate::database::connection::{Forwarding, prepare_socket};
 use crate::database::pool::OPEN_LIMIT;
 use crate::database::target::Target;
 use crate::fleet::access::DatabaseAccess;
-use crate::fleet::home;
+use crate::fleet::opening::{self, Opening};
 
-/// Pause before a connection is accepted after a failure; not measured.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest opening, in bytes.
-const LONGEST_REQUEST: usize = 512;
 /// How long other nodes may take to reply whether they reach a database: a probe of theirs takes up to
 /// 0.3 s. Not measured.
 const FORWARDER_SEARCH: Duration = Duration::from_millis(450);
-/// Connections that a node forwards at one time. Not measured.
-const FORWARDED_AT_MOST: usize = 64;
-
-/// What a node sends first on a connection to another, after its length in two bytes.
-#[derive(Debug, Serialize, Deserialize)]
-pub enum Opening {
-    /// Forward what follows to a database.
-    Forward {
-        /// The database.
-        database: DatabaseName,
-    },
-    /// Calls to a home follow.
-    Calls,
-    /// The sender subscribes to the receiver's copy of the store.
-    Feed,
-}
 
 /// Has other nodes forward connections.
 pub struct ThroughNodes;
@@ -57,67 +32,12 @@
         database: &DatabaseName,
     ) -> std::io::Result<TcpStream> {
         let database = database.clone();
-        open(node, &Opening::Forward { database }).await
-    }
-}
-
-/// Connects to the node at `address` for the purpose of `opening`.
-///
-/// # Errors
-/// The node can't be reached.
-pub async fn open(address: SocketAddr, opening: &Opening) -> std::io::Result<TcpStream> {
-    let mut stream = TcpStream::connect(address).await?;
-    prepare_socket(&stream);
-    let body = postcard::to_stdvec(opening).map_err(std::io::Error::other)?;
-    let mut message = (body.len() as u16).to_be_bytes().to_vec();
-    message.extend(body);
-    stream.write_all(&message).await?;
-    Ok(stream)
-}
-
-/// Serves the connection of a node that subscribes to this node's copy of the store.
-pub type ServeFeed = Rc<dyn Fn(TcpStream) -> LocalBoxFuture<'static, ()>>;
-
-/// Serves connections of other nodes until the process ends.
-pub async fn serve(access: Rc<DatabaseAccess>, serve_feed: ServeFeed, listener: TcpListener) {
-    let forwarded = Rc::new(());
-    loop {
-        let stream = accept(&listener, ACCEPT_PAUSE).await;
-        let access = access.clone();
-        let serve_feed = serve_feed.clone();
-        let forwarded = forwarded.clone();
-        tokio::task::spawn_local(async move {
-            // The asking node sees a connection that ends, whatever the reason.
-            let _ = serve_one(access, serve_feed, stream, forwarded).await;
-        });
+        opening::open(node, &Opening::Forward { database }).await
     }
 }
 
-/// Serves one connection; `forwarded` is shared by all that are forwarded.
-async fn serve_one(
-    access: Rc<DatabaseAccess>,
-    serve_feed: ServeFeed,
-    mut stream: TcpStream,
-    forwarded: Rc<()>,
-) -> std::io::Result<()> {
-    prepare_socket(&stream);
-    match tokio::time::timeout(OPEN_LIMIT, read_opening(&mut stream)).await?? {
-        Opening::Forward { .. } if Rc::strong_count(&forwarded) > FORWARDED_AT_MOST => Ok(()),
-        Opening::Forward { database } => forward(&access, stream, &database).await,
-        Opening::Calls => {
-            drop(forwarded);
-            home::serve(access, stream).await;
-            Ok(())
-        }
-        Opening::Feed => {
-            drop(forwarded);
-            serve_feed(stream).await;
-            Ok(())
-        }
-    }
-}
-
-async fn forward(
+/// Moves bytes between a connection of another node and a database, until either closes.
+pub(super) async fn forward(
     access: &DatabaseAccess,
     mut stream: TcpStream,
     database: &DatabaseName,
@@ -134,16 +54,6 @@
     Ok(())
 }
 
-async fn read_opening(stream: &mut TcpStream) -> std::io::Result<Opening> {
-    let length = usize::from(stream.read_u16().await?);
-    if length > LONGEST_REQUEST {
-        return Err(std::io::ErrorKind::InvalidData.into());
-    }
-    let mut body = vec![0; length];
-    stream.read_exact(&mut body).await?;
-    postcard::from_bytes(&body).map_err(std::io::Error::other)
-}
-
 impl DatabaseAccess {
     /// Asks the other nodes who reaches `target`, and has the first that does forward connections to it.
     pub fn find_forwarder(self: &Rc<Self>, target: &Target) {
--- a/crates/dyketally-gateway/src/fleet/home.rs
+++ b/crates/dyketally-gateway/src/fleet/home.rs
@@ -22,7 +22,8 @@
 use crate::fleet::connection::DatabaseConnection;
 use crate::fleet::link::{Call, CallReply, Frames, frames};
 
-/// How long a call goes on whose link was closed, so that its connection can be kept.
+/// How long a call goes on whose link was closed, so that its connection can be kept. Not
+/// measured.
 const ABANDONED_LIMIT: Duration = Duration::from_millis(400);
 
 /// A connection that is kept for a link while a transaction is open on it. Dropping it drops the
@@ -66,6 +67,7 @@
     let mut bound = None;
     while let Some(Ok(message)) = frames.next().await {
         let Ok(call) = postcard::from_bytes::<Call<'_>>(&message) else {
+            // Closing the link tells the caller that nothing can be said of its call.
             return;
         };
         let _busy = Busy::begin(&access.fleet);
@@ -93,7 +95,7 @@
         // Nobody may send before the answer: whatever comes, the link is of no more use.
         _ = frames.next() => {}
     }
-    // What was left open is dropped by whoever holds it.
+    // What is still open afterwards is rolled back as `Bound` is dropped.
     let _ = tokio::time::timeout(ABANDONED_LIMIT, running).await;
     None
 }
--- a/crates/dyketally-gateway/src/fleet/homes.rs
+++ b/crates/dyketally-gateway/src/fleet/homes.rs
@@ -16,9 +16,10 @@
 use crate::fleet::passed_over::PassedOver;
 use crate::ports::DatabaseUser;
 
-/// Connections assumed where the configuration doesn't tell.
+/// Connections to a database that the nodes may have together where the configuration sets no limit. Not
+/// measured.
 const GRANTED_ASSUMED: u32 = 16;
-/// Further nodes that are asked when no home can be.
+/// Further nodes that are asked when no home can be. Not measured.
 const STAND_INS: usize = 1;
 
 /// One database as this node reaches it, by the nodes that are known.
--- a/crates/dyketally-gateway/src/fleet/message.rs
+++ b/crates/dyketally-gateway/src/fleet/message.rs
@@ -9,7 +9,8 @@
 
 use crate::fleet::membership::NodeRecord;
 
-/// What nodes tell each other.
+/// What nodes send each other. It is encoded in postcard, which depends on the order of variants and
+/// fields: nodes of different builds talk to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// The sender doesn't reach the primary.
@@ -37,8 +38,8 @@
         /// True when it has lost the store.
         store_lost: bool,
     },
-    /// The sender has the duty of replacing primaries.
-    HasDuty {
+    /// The sender is the failover coordinator, which replaces primaries.
+    CoordinatorAnnounced {
         /// The sender.
         record: NodeRecord,
     },
@@ -70,36 +71,36 @@
         id: FenceId,
     },
     /// Asks for a sign of life.
-    AreYouThere {
+    SignOfLifeAsked {
         /// Names the question in replies.
         round: u64,
     },
     /// A sign of life.
-    Here {
+    SignOfLife {
         /// The question.
         round: u64,
         /// The fences that stand at the sender.
         fenced: Vec<StandingFence>,
     },
-    /// Asks for the short contact.
+    /// Asks for the failover coordinator's grant.
     ContactAsked {
         /// Names the question in replies.
         round: u64,
     },
-    /// How lately the sender was in touch.
-    ContactTold {
+    /// How lately the sender was granted contact, and heard from most nodes.
+    ContactReply {
         /// The question.
         round: u64,
-        /// How long ago it asked for the short contact that was granted, in milliseconds; 0 where it
-        /// grants it itself.
+        /// How long ago it asked for the grant that it has, in milliseconds; 0 for the coordinator
+        /// itself.
         granted_ms: Option<u32>,
         /// How long ago it asked the nodes more than half of which replied, in milliseconds.
         majority_ms: Option<u32>,
         /// The fences that stand at the sender.
         fenced: Vec<StandingFence>,
     },
-    /// Asks for a heartbeat. Unlike [`PeerMessage::AreYouThere`] it doesn't tell that the sender
-    /// counts the receiver among those that it is in touch with.
+    /// Asks for a heartbeat. Unlike [`PeerMessage::SignOfLifeAsked`] the reply doesn't count as
+    /// contact of the sender.
     HeartbeatAsked,
     /// The sender's process runs.
     Heartbeat,
@@ -156,20 +157,20 @@
 }
 
 impl PeerMessage {
-    /// The kind, for counters.
+    /// The kind, as counters and metrics name it. Some names are older than those of the variants.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Suspect { .. } => "suspect",
             Self::Poll { .. } => "poll",
             Self::Vote { .. } => "vote",
-            Self::HasDuty { .. } => "has_duty",
+            Self::CoordinatorAnnounced { .. } => "has_duty",
             Self::Fence { .. } => "fence",
             Self::FenceReply { .. } => "fence_reply",
             Self::LiftFence { .. } => "lift_fence",
-            Self::AreYouThere { .. } => "are_you_there",
-            Self::Here { .. } => "here",
+            Self::SignOfLifeAsked { .. } => "are_you_there",
+            Self::SignOfLife { .. } => "here",
             Self::ContactAsked { .. } => "contact_asked",
-            Self::ContactTold { .. } => "contact_told",
+            Self::ContactReply { .. } => "contact_told",
             Self::HeartbeatAsked => "heartbeat_asked",
             Self::Heartbeat => "heartbeat",
             Self::RelaysAsked { .. } => "relays_asked",
--- a/crates/dyketally-gateway/src/fleet/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/mod.rs
@@ -1,4 +1,11 @@
-//! The nodes: who runs, what they tell each other, and whose connections they use.
+//! The nodes: which run, what they send each other, and whose connections to databases they use.
+//!
+//! Owns what is known of the nodes and of the failover coordinator, the socket for datagrams, the links
+//! to other nodes, and the placement of connections: which nodes are the homes of a database. Gives the
+//! layers above access to databases ([`access::DatabaseAccess`]), directly or by way of other nodes.
+//!
+//! Relies on the context and on `database`. Asks higher layers what to reply to datagrams
+//! ([`peer::PeerRequests`]) and to serve subscriptions to the store ([`listener::ServeFeed`]).
 
 pub mod access;
 pub mod connection;
@@ -8,8 +15,10 @@
 mod home_search;
 pub mod homes;
 pub mod link;
+pub mod listener;
 pub mod membership;
 pub mod message;
+pub mod opening;
 pub mod passed_over;
 pub mod peer;
 pub mod traffic;
--- a/crates/dyketally-gateway/src/fleet/passed_over.rs
+++ b/crates/dyketally-gateway/src/fleet/passed_over.rs
@@ -7,7 +7,8 @@
 
 use tokio::time::Instant;
 
-/// How long a node that failed is passed over.
+/// How long a node that failed is passed over: most come back, or are replaced, within seconds. Not
+/// measured.
 const PASSED_OVER: Duration = Duration::from_millis(1_500);
 
 /// Nodes that failed lately.
--- a/crates/dyketally-gateway/src/fleet/peer/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/mod.rs
@@ -53,7 +53,7 @@
 /// What one node replied to a fence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FenceReply {
-    /// Where the node hears others.
+    /// Where the node listens for others.
     pub from: SocketAddr,
     /// True when the database has answered it since the suspicion.
     pub contested: bool,
--- a/crates/dyketally-gateway/src/fleet/peer/poll.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/poll.rs
@@ -20,7 +20,7 @@
     pub evidence: Evidence,
     /// True when it has lost the store.
     pub store_lost: bool,
-    /// Where the node hears others.
+    /// Where the node listens for others.
     pub from: SocketAddr,
 }
 
--- a/crates/dyketally-gateway/src/fleet/peer/requests.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/requests.rs
@@ -93,12 +93,12 @@
             PeerMessage::LiftFence { database, id } => {
                 self.access.databases.lift_round(&database, id)
             }
-            PeerMessage::AreYouThere { round } => {
+            PeerMessage::SignOfLifeAsked { round } => {
                 self.asked_by.borrow_mut().insert(from, Instant::now());
                 let fenced = self.access.databases.standing_fences();
-                self.send(from, &PeerMessage::Here { round, fenced });
+                self.send(from, &PeerMessage::SignOfLife { round, fenced });
             }
-            PeerMessage::Here { round, fenced } => {
+            PeerMessage::SignOfLife { round, fenced } => {
                 self.access
                     .databases
                     .heard_of_fences(fenced, "a sign of life");
@@ -108,7 +108,7 @@
                 let told = requests.grant_reply(round);
                 self.send(from, &told);
             }
-            PeerMessage::ContactTold {
+            PeerMessage::ContactReply {
                 round,
                 granted_ms,
                 majority_ms,
@@ -149,7 +149,7 @@
             }
             PeerMessage::ReachReply { round } => self.reach_rounds.deliver(round, ()),
             PeerMessage::Ends { node } => self.access.fleet.membership.ended(&node),
-            PeerMessage::HasDuty { record } => {
+            PeerMessage::CoordinatorAnnounced { record } => {
                 self.access.fleet.coordinator.receive_announcement(record)
             }
             PeerMessage::Leads { database, .. } => {
--- a/crates/dyketally-gateway/src/fleet/traffic.rs
+++ b/crates/dyketally-gateway/src/fleet/traffic.rs
@@ -40,7 +40,7 @@
         self.by_node.borrow().clone()
     }
 
-    /// Takes in that nodes came or went, which may have the addresses of others.
+    /// Forgets who has which address: nodes came or went, which may have the addresses of others.
     pub fn forget_addresses(&self) {
         self.by_address.borrow_mut().clear();
         self.by_host.borrow_mut().clear();
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -24,7 +24,7 @@
 use self::listen::bind;
 use self::peer_requests::RequestHandler;
 use crate::event::Event;
-use crate::fleet::forwarding::{self, ServeFeed};
+use crate::fleet::listener::{self, ServeFeed};
 use crate::fleet::membership::NodeRecord;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
@@ -129,7 +129,7 @@
     let feed = gateway.feed.clone();
     let serve_feed: ServeFeed =
         Rc::new(move |stream| feed::serve(feed.clone(), stream).boxed_local());
-    tokio::task::spawn_local(forwarding::serve(
+    tokio::task::spawn_local(listener::serve(
         gateway.access.clone(),
         serve_feed,
         forwarded,
--- a/crates/dyketally-gateway/src/store/feed/nearer.rs
+++ b/crates/dyketally-gateway/src/store/feed/nearer.rs
@@ -9,8 +9,8 @@
 use super::message::{FeedMessage, decode};
 use super::relays::CONNECT_LIMIT;
 use super::{Feed, OUT_OF_TOUCH};
-use crate::fleet::forwarding::{self, Opening};
 use crate::fleet::link::frames;
+use crate::fleet::opening::{self, Opening};
 
 /// Pause between two looks for a relay of the own zone, and what is added to it at random: nodes that
 /// lost their relays together don't all ask the next one at once. Not measured.
@@ -39,7 +39,7 @@
 
 /// Whether a relay is in touch with the store, by its first message; `None` if it doesn't serve.
 async fn is_in_touch(relay: SocketAddr) -> Option<bool> {
-    let stream = forwarding::open(relay, &Opening::Feed).await.ok()?;
+    let stream = opening::open(relay, &Opening::Feed).await.ok()?;
     let first = frames(stream).next().await?.ok()?;
     match decode(&first)? {
         FeedMessage::Pong { contact, .. } => {
--- a/crates/dyketally-gateway/src/store/feed/subscriber.rs
+++ b/crates/dyketally-gateway/src/store/feed/subscriber.rs
@@ -13,8 +13,8 @@
 use super::subscription::{Demand, Ended, Next, Subscription, SubscriptionParts};
 use super::updates::UpdateHandler;
 use crate::event::Event;
-use crate::fleet::forwarding::{self, Opening};
 use crate::fleet::link::frames;
+use crate::fleet::opening::{self, Opening};
 use crate::store::parts::StoreParts;
 
 /// How long the store may take to show that it replies to this node. Not measured.
@@ -99,7 +99,7 @@
 
     /// Follows one relay until it is lost.
     async fn follow(&self, relay: SocketAddr, demand: Demand) -> Next {
-        let opening = forwarding::open(relay, &Opening::Feed);
+        let opening = opening::open(relay, &Opening::Feed);
         let connected = tokio::time::timeout(CONNECT_LIMIT, opening).await;
         let ended = match connected {
             Ok(Ok(stream)) => {
--- a/crates/dyketally-gateway/src/succession/contact.rs
+++ b/crates/dyketally-gateway/src/succession/contact.rs
@@ -74,7 +74,7 @@
         let own = &self.cx.settings.node.name;
         let nodes = self.fleet.membership.electorate(own);
         let mut replies = self.peers.collect_signs_of_life();
-        let message = PeerMessage::AreYouThere {
+        let message = PeerMessage::SignOfLifeAsked {
             round: replies.round,
         };
         for node in &nodes {
--- a/crates/dyketally-gateway/src/succession/coordinator.rs
+++ b/crates/dyketally-gateway/src/succession/coordinator.rs
@@ -124,7 +124,8 @@
             lease: Some(lease),
         });
         self.parts.cx.events.write(&Event::DutyTaken { token });
-        self.peers.broadcast(&PeerMessage::HasDuty { record });
+        self.peers
+            .broadcast(&PeerMessage::CoordinatorAnnounced { record });
         state.attention.notify_one();
     }
 
--- a/crates/dyketally-gateway/src/succession/grants.rs
+++ b/crates/dyketally-gateway/src/succession/grants.rs
@@ -87,7 +87,7 @@
         };
         let majority = contact.majority_age(now);
         let majority = majority.filter(|_| contact.is_long_held(now));
-        PeerMessage::ContactTold {
+        PeerMessage::ContactReply {
             round,
             granted_ms: age_ms(granted),
             majority_ms: age_ms(majority),
