--- a/crates/dyketally-gateway/tests/wire/datagrams.rs
+++ b/crates/dyketally-gateway/tests/wire/datagrams.rs
@@ -19,14 +19,14 @@
     PeerMessage::Suspect { .. } => "suspect",
     PeerMessage::Poll { .. } => "poll",
     PeerMessage::Vote { .. } => "vote",
-    PeerMessage::HasDuty { .. } => "has_duty",
+    PeerMessage::CoordinatorAnnounced { .. } => "has_duty",
     PeerMessage::Fence { .. } => "fence",
     PeerMessage::FenceReply { .. } => "fence_reply",
     PeerMessage::LiftFence { .. } => "lift_fence",
-    PeerMessage::AreYouThere { .. } => "are_you_there",
-    PeerMessage::Here { .. } => "here",
+    PeerMessage::SignOfLifeAsked { .. } => "are_you_there",
+    PeerMessage::SignOfLife { .. } => "here",
     PeerMessage::ContactAsked { .. } => "contact_asked",
-    PeerMessage::ContactTold { .. } => "contact_told",
+    PeerMessage::ContactReply { .. } => "contact_told",
     PeerMessage::HeartbeatAsked => "heartbeat_asked",
     PeerMessage::Heartbeat => "heartbeat",
     PeerMessage::RelaysAsked { .. } => "relays_asked",
@@ -137,13 +137,13 @@
         ("vote/silent", vote(Evidence::Silent, false)),
         (
             "has_duty",
-            PeerMessage::HasDuty {
+            PeerMessage::CoordinatorAnnounced {
                 record: record(LinkClass::default(), address()),
             },
         ),
         (
             "has_duty/fast link, IPv6",
-            PeerMessage::HasDuty {
+            PeerMessage::CoordinatorAnnounced {
                 record: record(LinkClass::of_megabits(1_000.0), address_v6()),
             },
         ),
@@ -191,17 +191,17 @@
 
 fn contact_samples() -> Vec<Sample<PeerMessage>> {
     vec![
-        ("are_you_there", PeerMessage::AreYouThere { round: 8 }),
+        ("are_you_there", PeerMessage::SignOfLifeAsked { round: 8 }),
         (
             "here/no fences",
-            PeerMessage::Here {
+            PeerMessage::SignOfLife {
                 round: 8,
                 fenced: Vec::new(),
             },
         ),
         (
             "here/two fences",
-            PeerMessage::Here {
+            PeerMessage::SignOfLife {
                 round: 8,
                 fenced: fences(),
             },
@@ -209,7 +209,7 @@
         ("contact_asked", PeerMessage::ContactAsked { round: 200 }),
         (
             "contact_told/none",
-            PeerMessage::ContactTold {
+            PeerMessage::ContactReply {
                 round: 200,
                 granted_ms: None,
                 majority_ms: None,
@@ -218,7 +218,7 @@
         ),
         (
             "contact_told/both",
-            PeerMessage::ContactTold {
+            PeerMessage::ContactReply {
                 round: 200,
                 granted_ms: Some(0),
                 majority_ms: Some(800),
--- a/crates/dyketally-gateway/tests/wire/openings.rs
+++ b/crates/dyketally-gateway/tests/wire/openings.rs
@@ -1,6 +1,6 @@
 //! What a node sends first on a connection to another one, with its length in front.
 
-use dyketally_gateway::fleet::forwarding::{self, Opening};
+use dyketally_gateway::fleet::opening::{self, Opening};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
@@ -45,9 +45,7 @@
 async fn sent(opening: &Opening) -> Vec<u8> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let opened = forwarding::open(address, opening)
-        .await
-        .expect("a connection");
+    let opened = opening::open(address, opening).await.expect("a connection");
     let (mut accepted, _) = listener.accept().await.expect("a connection");
     drop(opened);
     let mut bytes = Vec::new();
