--- a/crates/dyketally-gateway/src/database/batch.rs
+++ b/crates/dyketally-gateway/src/database/batch.rs
@@ -1,4 +1,6 @@
-//! What is sent to a database on one connection in one go, whoever holds the connection.
+//! Batches: statements that are sent to a database together, on one connection of this node or of a home.
+//!
+//! Calls between nodes carry them in postcard, which depends on the order of variants and fields.
 
 use std::collections::BTreeMap;
 
--- a/crates/dyketally-gateway/src/database/claim.rs
+++ b/crates/dyketally-gateway/src/database/claim.rs
@@ -46,6 +46,16 @@
     pub unreachable: bool,
 }
 
+impl Refusal {
+    /// A refusal for a reason that isn't the database's reachability.
+    pub fn denied(denial: Denial) -> Self {
+        Self {
+            kind: failure_kind(denial),
+            unreachable: false,
+        }
+    }
+}
+
 /// What a caller's statement counts as when it was denied.
 pub fn failure_kind(denial: Denial) -> FailureKind {
     match denial {
--- a/crates/dyketally-gateway/src/database/pool/checkout.rs
+++ b/crates/dyketally-gateway/src/database/pool/checkout.rs
@@ -44,8 +44,8 @@
         &self.pool.database
     }
 
-    /// Waits for its turn to run a batch that goes on with a transaction. Whoever needs leave for the
-    /// batch asks for it behind this wait.
+    /// Waits for its turn to run a batch that goes on with a transaction. The permission
+    /// for the batch is obtained after this wait, since it may change meanwhile.
     pub async fn wait_for_turn(&mut self, batch: &Batch) {
         if self.held.running.is_none() && batch.takes_slot() {
             self.held.running = Some(self.pool.turn().await);
--- a/crates/dyketally-gateway/src/fleet/connection.rs
+++ b/crates/dyketally-gateway/src/fleet/connection.rs
@@ -7,7 +7,7 @@
 use dyketally::identifiers::DatabaseName;
 
 use crate::database::batch::{Batch, Reset};
-use crate::database::claim::{Refusal, failure_kind};
+use crate::database::claim::Refusal;
 use crate::database::connection::{Answer, leave_idle};
 use crate::database::pool;
 use crate::fleet::link::{CallError, HomeCall};
@@ -86,10 +86,7 @@
 
 fn call_error(error: pool::RunError) -> CallError {
     match error {
-        pool::RunError::Denied(denial) => CallError::NotRun(Refusal {
-            kind: failure_kind(denial),
-            unreachable: false,
-        }),
+        pool::RunError::Denied(denial) => CallError::NotRun(Refusal::denied(denial)),
         pool::RunError::Broken(broken) => CallError::DatabaseBroke(broken),
     }
 }
--- a/crates/dyketally-gateway/src/fleet/home.rs
+++ b/crates/dyketally-gateway/src/fleet/home.rs
@@ -13,7 +13,6 @@
 use tokio::time::Instant;
 
 use crate::database::batch::{Batch, Reset};
-use crate::database::claim::failure_kind;
 use crate::database::claim::{Claim, Refusal};
 use crate::database::connection::{Broken, leave_idle};
 use crate::database::target::Target;
@@ -165,10 +164,7 @@
 }
 
 fn denied(denial: Denial) -> CallReply {
-    CallReply::Refused(Refusal {
-        kind: failure_kind(denial),
-        unreachable: false,
-    })
+    CallReply::Refused(Refusal::denied(denial))
 }
 
 async fn bind(access: &Rc<DatabaseAccess>, call: &Call<'_>) -> Result<Bound, CallReply> {
--- a/crates/dyketally-gateway/src/fleet/peer/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/mod.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Nodes that may count this one among those they are in touch with.
+    /// Nodes that may count this one among those that replied to them lately.
     pub fn heard(&self) -> Vec<SocketAddr> {
         let mut asked_by = self.asked_by.borrow_mut();
         asked_by.retain(|_, at| at.elapsed() < SIGN_OF_LIFE_HOLDS);
--- a/crates/dyketally-gateway/src/fleet/peer/requests.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/requests.rs
@@ -105,8 +105,7 @@
                 self.life_rounds.deliver(round, from);
             }
             PeerMessage::ContactAsked { round } => {
-                let told = requests.grant_reply(round);
-                self.send(from, &told);
+                self.send(from, &requests.grant_reply(round));
             }
             PeerMessage::ContactReply {
                 round,
@@ -122,7 +121,7 @@
             PeerMessage::HeartbeatAsked => self.send(from, &PeerMessage::Heartbeat),
             PeerMessage::Heartbeat => {
                 if let Some(heartbeats) = self.heartbeats.borrow().as_ref() {
-                    // The process may be about to stop.
+                    // Fails only when the task that counts heartbeats has ended: the process stops.
                     let _ = heartbeats.send(from);
                 }
             }
