--- a/crates/dyketally-gateway/src/lib.rs
+++ b/crates/dyketally-gateway/src/lib.rs
@@ -8,6 +8,7 @@
 mod context;
 pub mod counters;
 pub mod database;
+pub mod decision;
 pub mod event;
 pub mod fleet;
 mod gateway;
