--- a/crates/dyketally-gateway/tests/reach.rs
+++ b/crates/dyketally-gateway/tests/reach.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dyketally_gateway::statement::reach::Unled;
+use dyketally_gateway::database::availability::Unled;
 use rstest::rstest;
 use tokio::time::{Instant, advance};
 
