--- a/crates/dyketally-gateway/src/database/availability.rs
+++ b/crates/dyketally-gateway/src/database/availability.rs
@@ -1,21 +1,12 @@
-//! How long statements wait for a primary that can't be used.
-//!
-//! While a primary is being replaced it is best to wait: that takes a second or so. One that can't be
-//! used for longer may well be used by other nodes, which callers reach when they come back; so from
-//! then on a statement is refused as soon as its attempt has failed.
+//! Since when a group has had no primary that this node can use. How long statements wait for it is
+//! [`crate::decision::wait`]'s to say.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long a primary is waited for, from the first attempt that found none: replacing one takes 0.4 to
-/// 0.8 s as a rule (0046), and a promotion up to 0.6 s of that.
-const REPLACED_WITHIN: Duration = Duration::from_millis(1_500);
-/// Attempts that lie further apart don't belong to one loss.
-const ONE_LOSS: Duration = Duration::from_secs(1);
-/// How long a statement waits for a primary that is out of reach.
-pub const SHORT_WAIT: Duration = Duration::from_millis(50);
+use crate::decision::wait;
 
 /// Since when a group has had no primary that this node can use.
 #[derive(Debug, Default)]
@@ -33,7 +24,7 @@
 impl Loss {
     /// True while one more attempt belongs to it.
     fn goes_on(&self) -> bool {
-        self.last.elapsed() < ONE_LOSS
+        wait::is_same_loss(self.last.elapsed())
     }
 }
 
@@ -52,15 +43,18 @@
 
     /// Until when a primary is waited for, by `latest` at the latest.
     pub fn wait_until(&self, latest: Instant) -> Instant {
-        let now = Instant::now();
-        let first = self.current().map_or(now, |loss| loss.first);
-        (first + REPLACED_WITHIN).max(now + SHORT_WAIT).min(latest)
+        (Instant::now() + wait::for_primary(self.missing_for())).min(latest)
     }
 
     /// True when statements shouldn't wait for the primary any longer.
     pub fn is_out_of_reach(&self) -> bool {
+        wait::is_unavailable(self.missing_for())
+    }
+
+    /// Time since the first of the attempts that found no primary; zero if there is none.
+    pub fn missing_for(&self) -> Duration {
         self.current()
-            .is_some_and(|loss| loss.first.elapsed() >= REPLACED_WITHIN)
+            .map_or(Duration::ZERO, |loss| loss.first.elapsed())
     }
 
     fn current(&self) -> Option<Loss> {
--- a/crates/dyketally-gateway/src/session/mod.rs
+++ b/crates/dyketally-gateway/src/session/mod.rs
@@ -25,20 +25,18 @@
 pub use self::sessions::Sessions;
 use crate::context::{StopPhase, accept};
 use crate::database::connection::prepare_socket;
+use crate::decision::Reason;
 use crate::gateway::Gateway;
 use crate::ports::{CallerMessage, CallerStatement};
 use crate::quota::QuotaExceeded;
+use crate::statement::ending::Decided;
 use crate::statement::hand_over::HandOvers;
 use crate::statement::request::{Execution, Request, Served};
-use crate::statement::transaction::{Transaction, TransactionAnswer};
+use crate::statement::transaction::Transaction;
 
 /// Pause before a caller is accepted after a failure: shorter than for other listeners, since callers wait;
 /// not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Why a statement is refused whose tenant has used up its quota.
-const OVER_QUOTA: &str = "the tenant's quota";
-/// Why a transaction is given up whose key may have been taken away unnoticed.
-const KEY_UNCERTAIN: &str = "the node can't know whether the key still stands";
 /// What signs a statement that the gateway answers itself.
 const OWN_SIGNATURE: &[u8] = b"-";
 
@@ -277,7 +275,7 @@
         if transaction.wrote && answer.served.end.is_ok() {
             self.note_commit(answer.served.position);
         }
-        request.log(&self.gateway, &answer.served, "commit");
+        request.log(&self.gateway, &answer.served, answer.reason);
         (answer.served, answer.state)
     }
 
@@ -321,9 +319,8 @@
             transaction.failed = true;
             return (served, TransactionState::Failed);
         }
-        let TransactionAnswer { served, state } =
-            transaction.run(&self.gateway, &request, access).await;
-        (served, state)
+        let answer = transaction.run(&self.gateway, &request, access).await;
+        (answer.served, answer.state)
     }
 
     /// Rolls back a transaction whose key may have been taken away unnoticed.
@@ -332,7 +329,7 @@
         transaction.roll_back();
         transaction.failed = true;
         let served = Served::rolled_back();
-        request.log(&self.gateway, &served, KEY_UNCERTAIN);
+        request.log(&self.gateway, &served, Reason::KeyUncertain);
         served
     }
 
@@ -343,11 +340,11 @@
             Ok(permit) => permit,
             Err(exceeded) => {
                 let served = over_quota(&exceeded);
-                request.log(&self.gateway, &served, OVER_QUOTA);
+                request.log(&self.gateway, &served, Reason::OverQuota);
                 return served;
             }
         };
-        let served = match access {
+        let Decided { served, reason } = match access {
             Access::Read => self.gateway.serve_read(&request).await,
             Access::Write => self.gateway.serve_write(&request).await,
         };
@@ -357,7 +354,7 @@
         if access == Access::Write && served.end.is_ok() {
             self.note_commit(served.position);
         }
-        request.log(&self.gateway, &served, "single statement");
+        request.log(&self.gateway, &served, reason);
         served
     }
 
@@ -372,7 +369,7 @@
             let permit = self.gateway.permit(tenant, request.give_up()).await;
             let permit = permit.map_err(|exceeded| {
                 let served = over_quota(&exceeded);
-                request.log(&self.gateway, &served, OVER_QUOTA);
+                request.log(&self.gateway, &served, Reason::OverQuota);
                 served
             })?;
             transaction.permit = Some(permit);
--- a/crates/dyketally-gateway/src/statement/eligibility.rs
+++ b/crates/dyketally-gateway/src/statement/eligibility.rs
@@ -3,7 +3,6 @@
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use std::time::Duration;
 
 use dyketally::directory::{Member, MemberState};
 use dyketally::eligibility::{
@@ -11,17 +10,11 @@
     best_regions, judge, preferred_region,
 };
 use dyketally::identifiers::{DatabaseName, GroupName, RegionName, ZoneName};
-use dyketally::route_policy::RoutePolicy;
-use tokio::time::Instant;
 
 use crate::database::target::Target;
 use crate::event::Event;
 use crate::gateway::Gateway;
 
-/// Pause between two log lines on a group that no database may serve: each statement that is refused
-/// has a line of its own.
-const TELL_INTERVAL: Duration = Duration::from_secs(5);
-
 impl Gateway {
     /// Leave to send what `intent` tells to `target`, by what is known now.
     ///
@@ -200,28 +193,6 @@
         }
     }
 
-    /// Logs that no database of a route's group may serve a statement, now and then.
-    pub fn report_served_nowhere(
-        &self,
-        route: &RoutePolicy,
-        regions: &ServingRegions,
-        denial: Denial,
-    ) {
-        self.cx.counters.denied.add(denial.kind(), 1);
-        let mut logged = self.unserved_logged.borrow_mut();
-        let told = logged.get(&route.group);
-        if told.is_some_and(|told| told.elapsed() < TELL_INTERVAL) {
-            return;
-        }
-        logged.insert(route.group.clone(), Instant::now());
-        self.cx.events.write(&Event::ServedNowhere {
-            group: route.group.as_str(),
-            route: &route.name,
-            regions: regions.to_string(),
-            reason: denial.to_string(),
-        });
-    }
-
     /// True when a connection to `target` may go by way of the node at `address`: where regions are
     /// bound, only through the database's own region, which all that may run there may enter.
     pub fn may_relay(&self, address: SocketAddr, target: &Target) -> bool {
--- a/crates/dyketally-gateway/src/statement/read.rs
+++ b/crates/dyketally-gateway/src/statement/read.rs
@@ -2,7 +2,6 @@
 //! late or lost.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use dyketally::group::LogPosition;
 use dyketally::identifiers::DatabaseName;
@@ -17,105 +16,103 @@
 use crate::database::claim::Work;
 use crate::database::connection::{Answer, Broken, leave_idle};
 use crate::database::target::Target;
+use crate::decision::choose::Proof;
+use crate::decision::give_up::{self, Time};
+use crate::decision::hedge::{self, LATE_ANSWER_LIMIT};
+use crate::decision::learn::{self, BehindBegin};
+use crate::decision::retry::{self, Attempts};
+use crate::decision::{Operation, Reason};
 use crate::gateway::Gateway;
 use crate::ports::OwnStatement;
+use crate::statement::attempt::Attempt;
+use crate::statement::choose::Choice;
+use crate::statement::ending::Decided;
 use crate::statement::hand_over::HandOver;
 use crate::statement::request::{Request, Served, Stage};
-use crate::statement::write::{Attempt, RETRY_PAUSE};
 
-/// Longest wait for an answer before another database is asked as well.
-const HEDGE_AT_MOST: Duration = Duration::from_millis(350);
-/// How long an answer that nobody waits for any more is waited for, to keep its connection. An
-/// answer may never come, and each connection that waits for one is missing from its pool.
-const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(300);
-/// Attempts of one read, at most.
-const ATTEMPTS_AT_MOST: u32 = 12;
-/// Attempts of one read that wait for answers at one time.
-const RUNNING_AT_MOST: usize = 3;
-
-/// How a read proves that it is fresh.
-#[derive(Clone, Copy, Debug)]
-enum Proof {
-    /// The database proves that it leads.
-    Leads,
-    /// The database's log holds the position.
-    Holds(LogPosition),
-}
+/// Attempts of one read that wait for a connection or an answer.
+type Running = FuturesUnordered<JoinHandle<Attempt>>;
 
 impl Gateway {
     /// Serves a single read.
-    pub async fn serve_read(self: &Rc<Self>, request: &Rc<Request>) -> Served {
-        let mut running = FuturesUnordered::new();
+    pub async fn serve_read(self: &Rc<Self>, request: &Rc<Request>) -> Decided {
+        let mut running = Running::new();
         let mut tried: Vec<DatabaseName> = Vec::new();
         let mut refusal = FailureKind::Busy;
         loop {
-            let may_start =
-                running.len() < RUNNING_AT_MOST && request.attempts.get() < ATTEMPTS_AT_MOST;
-            let started = match may_start && Instant::now() < request.give_up() {
+            let attempts = Attempts {
+                made: request.attempts.get(),
+                running: running.len(),
+            };
+            let may_add = retry::may_add(attempts);
+            let started = match may_add && Instant::now() < request.give_up() {
                 true => self.start_read(request, &mut tried).await,
                 false => None,
             };
-            let none_started = started.is_none();
+            let is_idle = may_add && started.is_none() && running.is_empty();
             running.extend(started);
-            let idle = may_start && none_started && running.is_empty();
-            if idle
-                && request
-                    .served_nowhere(self, request.need().is_none())
-                    .is_some()
+            if is_idle
+                && let Some(reason) =
+                    self.ends_read(request, give_up::Attempt::NotStarted, &tried, &running)
             {
-                return request.refuse(FailureKind::NotServedHere);
+                return request.given_up(reason, refusal);
             }
-            if idle && self.is_unled(&request.route.group) {
-                return request.refuse(refusal);
-            }
-            let wake = next_step(request, running.is_empty());
-            tokio::select! {
-                finished = running.next(), if !running.is_empty() => match finished {
-                    Some(Ok(Attempt::Answered(answer))) => return Served::from_database(answer),
-                    Some(Ok(Attempt::NotRun(kind))) => {
-                        refusal = kind;
-                        let group = &request.route.group;
-                        let hopeless = request.is_hopeless(self, kind) || self.is_unled(group);
-                        if hopeless
-                            && running.is_empty()
-                            && !self.may_try_another(request, &tried)
-                        {
-                            return request.refuse(kind);
-                        }
-                        if kind == FailureKind::Busy {
-                            tokio::time::sleep(RETRY_PAUSE / 2).await;
-                        }
+            match next_end(request, &mut running).await {
+                Some(Attempt::Answered(answer)) => {
+                    return Decided::answered(Served::from_database(answer));
+                }
+                Some(Attempt::NotRun(kind)) => {
+                    refusal = kind;
+                    let attempt = give_up::Attempt::NotRun(kind);
+                    if let Some(reason) = self.ends_read(request, attempt, &tried, &running) {
+                        return request.given_up(reason, refusal);
                     }
-                    Some(Ok(Attempt::Lost(_)) | Err(_)) | None => {}
-                },
-                () = tokio::time::sleep_until(wake) => {}
+                    if let Some(pause) = retry::pause_of_read_after(kind) {
+                        tokio::time::sleep(pause).await;
+                    }
+                }
+                Some(Attempt::Lost(_)) | None => {}
             }
-            let now = Instant::now();
-            if now >= request.deadline {
-                if request.hand_overs.unrun().is_some() {
+            let time = Time {
+                now: Instant::now(),
+                deadline: request.deadline,
+            };
+            let over = give_up::out_of_time(Operation::Read, time, running.len());
+            if let Some(reason) = over {
+                if reason == Reason::DeadlinePassed && request.hand_overs.unrun().is_some() {
                     // What still waits for a connection must not run once the caller is told so.
                     running.iter().for_each(JoinHandle::abort);
                 }
-                return request.out_of_time(refusal);
-            }
-            if running.is_empty() && now >= request.give_up() {
-                return request.refuse(refusal);
+                return request.given_up(reason, refusal);
             }
         }
     }
 
+    /// Why a read is given up after an attempt, if it is.
+    fn ends_read(
+        &self,
+        request: &Request,
+        attempt: give_up::Attempt,
+        tried: &[DatabaseName],
+        running: &Running,
+    ) -> Option<Reason> {
+        let facts = self.facts(request, request.need(), tried, running.len());
+        let verdict = give_up::after_attempt(Operation::Read, attempt, &facts.circumstances);
+        self.conclude(request, verdict, facts.denial)
+    }
+
     async fn start_read(
         self: &Rc<Self>,
         request: &Rc<Request>,
         tried: &mut Vec<DatabaseName>,
     ) -> Option<JoinHandle<Attempt>> {
-        let (target, proof) = self.choose_read(request, tried).await?;
-        tried.push(target.name.clone());
+        let choosing = self.choose(request, Operation::Read, request.need(), tried);
+        let choice = choosing.await?;
         request.attempt(self);
         let gateway = self.clone();
         let request = request.clone();
         Some(tokio::task::spawn_local(async move {
-            let attempt = gateway.read_once(&request, &target, proof);
+            let attempt = gateway.read_once(&request, &choice);
             let last = request.deadline + LATE_ANSWER_LIMIT;
             match tokio::time::timeout_at(last, attempt).await {
                 Ok(attempt) => attempt,
@@ -124,128 +121,71 @@
         }))
     }
 
-    /// True when a database that wasn't tried may serve the read.
-    fn may_try_another(&self, request: &Request, tried: &[DatabaseName]) -> bool {
-        let Some(need) = request.need() else {
-            return false;
-        };
-        let group = &request.route.group;
-        let known = need.position(&self.databases.group(group).observations.borrow());
-        self.has_untried(group, &request.regions, known, tried)
-    }
-
-    async fn choose_read(
-        self: &Rc<Self>,
-        request: &Request,
-        tried: &mut Vec<DatabaseName>,
-    ) -> Option<(Target, Proof)> {
-        let group = &request.route.group;
-        let Some(need) = request.need() else {
-            self.cx.counters.reads_bound_to_primaries.add();
-            let pause = Instant::now() + RETRY_PAUSE;
-            let until = pause.min(request.give_up());
-            let primary = self.primary_by(group, &request.regions, until).await;
-            return Some((primary.ok()?, Proof::Leads));
-        };
-        let state = self.databases.group(group);
-        let known = need.position(&state.observations.borrow());
-        let first = self.first_untried(group, &request.regions, known, tried)?;
-        if let Some(position) = known {
-            return Some((first, Proof::Holds(position)));
-        }
-        if first.leads {
-            let primary = self.primary_target(group, &request.regions);
-            return Some((primary.ok()?, Proof::Leads));
-        }
-        let confirmed = self.ensure_observation(group, need.covered, request.give_up());
-        if confirmed.await.is_some()
-            && let Some(position) = need.position(&state.observations.borrow())
-        {
-            return Some((first, Proof::Holds(position)));
-        }
-        let primary = self.primary_target(group, &request.regions);
-        Some((primary.ok()?, Proof::Leads))
-    }
-
-    async fn read_once(
-        self: &Rc<Self>,
-        request: &Request,
-        target: &Target,
-        proof: Proof,
-    ) -> Attempt {
+    async fn read_once(self: &Rc<Self>, request: &Request, choice: &Choice) -> Attempt {
+        let Choice { target, proof } = choice;
         let mut checkout = match self.checkout(request, target, Work::Statements).await {
             Ok(checkout) => checkout,
             Err(kind) => return Attempt::NotRun(kind),
         };
-        let steps = match proof {
-            Proof::Holds(position) => vec![request.step(Some(position))],
-            Proof::Leads => vec![
-                Step::Own(OwnStatement::Begin),
-                request.step(None),
-                Step::Own(OwnStatement::Rollback),
-            ],
-        };
-        let batch = Batch::of(request.context(), steps);
+        let batch = Batch::of(request.context(), steps(request, *proof));
         let sent = self.cx.now();
         let exchange = request.exchange(self, &mut checkout, target, &batch, Stage::First);
         let (answers, hand_over) = match exchange.await {
             Ok(answered) => answered,
-            Err(unanswered) => return unanswered.into(),
+            Err(unanswered) => {
+                let asked = (target, *proof);
+                return self.without_answer(Operation::Read, asked, unanswered);
+            }
         };
         if leave_idle(&answers) {
             checkout.give_back();
         }
-        let mut own = answers.into_iter();
+        let mut answers = answers.into_iter();
         match proof {
             Proof::Holds(position) => {
-                let Some(answer) = own.next() else {
-                    return Attempt::Lost(Broken::new("the database gave no answer"));
+                let Some(answer) = answers.next() else {
+                    return Attempt::without_all_answers();
                 };
-                self.judge_replica_read(target, position, answer, hand_over)
+                self.judge_holding_read(target, *position, answer, hand_over)
             }
             Proof::Leads => {
-                let (Some(begun), Some(answer)) = (own.next(), own.next()) else {
-                    return Attempt::Lost(Broken::new("the database gave no answer"));
+                let (Some(begun), Some(answer)) = (answers.next(), answers.next()) else {
+                    return Attempt::without_all_answers();
                 };
-                let judged = self.judge_primary_read(target, sent, begun, answer, hand_over);
+                let judged = self.judge_leading_read(target, sent, begun, answer, hand_over);
                 judged.await
             }
         }
     }
 
-    fn judge_replica_read(
+    /// Judges a read that ran only if the log held `position`.
+    fn judge_holding_read(
         self: &Rc<Self>,
         target: &Target,
         position: LogPosition,
         answer: Answer,
         hand_over: HandOver,
     ) -> Attempt {
+        let proof = Proof::Holds(position);
         if let Err(failure) = &answer.end
             && failure.kind.not_run()
         {
             hand_over.rejected();
-            if failure.kind == FailureKind::ReplicaBehind {
-                self.cx.counters.reads_behind.add();
-                target.state.was_behind(position);
-                self.databases
-                    .replica_showed(&target.group, position, false);
-            }
+            let lesson = learn::from_refusal(Operation::Read, proof, failure.kind);
+            self.learn(target, lesson);
             return Attempt::NotRun(failure.kind);
         }
-        target.state.was_fresh();
         match target.leads {
             true => self.cx.counters.reads_at_primaries.add(),
-            false => {
-                self.cx.counters.reads_at_replicas.add();
-                self.databases.replica_showed(&target.group, position, true);
-            }
+            false => self.cx.counters.reads_at_replicas.add(),
         }
+        let lesson = learn::from_answer(Operation::Read, proof, target.leads);
+        self.learn(target, lesson);
         Attempt::Answered(answer)
     }
 
-    /// Judges a read behind a `BEGIN` that only a leader takes. A read behind one that was refused
-    /// ran on its own, and proves nothing.
-    async fn judge_primary_read(
+    /// Judges a read behind a `BEGIN` that only a leader takes.
+    async fn judge_leading_read(
         self: &Rc<Self>,
         target: &Target,
         sent: Timestamp,
@@ -255,31 +195,48 @@
     ) -> Attempt {
         let kind_of = |answer: &Answer| answer.end.as_ref().err().map(|failure| failure.kind);
         let (refused, failed) = (kind_of(&begun), kind_of(&answer));
-        if [refused, failed].contains(&Some(FailureKind::ReadOnly)) {
-            self.follows(target);
-        }
-        match (refused, failed) {
-            (refused, Some(kind)) if kind.not_run() => {
+        self.learn(target, learn::from_behind_begin(refused, failed));
+        match learn::behind_begin(refused, failed) {
+            BehindBegin::NotRun(kind) => {
                 hand_over.rejected();
-                Attempt::NotRun(refused.unwrap_or(kind))
+                Attempt::NotRun(kind)
+            }
+            BehindBegin::ProvesNothing => {
+                Attempt::Lost(Broken::new("the database doesn't lead its group"))
             }
-            (Some(_), _) => Attempt::Lost(Broken::new("the database doesn't lead its group")),
-            (None, None) if !self.is_upheld(target).await => Attempt::Lost(Broken::replaced()),
-            (None, None) => {
+            BehindBegin::AnswerOfLeader if !self.is_upheld(target).await => {
+                Attempt::Lost(Broken::replaced())
+            }
+            BehindBegin::AnswerOfLeader => {
                 self.cx.counters.reads_at_primaries.add();
                 self.databases.observe(&target.group, answer.position, sent);
                 Attempt::Answered(answer)
             }
-            (None, Some(_)) => Attempt::Answered(answer),
+            BehindBegin::FailedAtLeader => Attempt::Answered(answer),
         }
     }
 }
 
-/// When a read that gets no answer takes its next step.
-fn next_step(request: &Request, nothing_runs: bool) -> Instant {
-    let pause = match nothing_runs {
-        true => RETRY_PAUSE,
-        false => HEDGE_AT_MOST,
-    };
-    (Instant::now() + pause).min(request.deadline)
+/// What is sent for a read: alone where the log must hold a position, else in a transaction that only a
+/// leader opens.
+fn steps(request: &Request, proof: Proof) -> Vec<Step> {
+    match proof {
+        Proof::Holds(position) => vec![request.step(Some(position))],
+        Proof::Leads => vec![
+            Step::Own(OwnStatement::Begin),
+            request.step(None),
+            Step::Own(OwnStatement::Rollback),
+        ],
+    }
+}
+
+/// Waits for the next attempt that ends, for as long as [`hedge`] says.
+async fn next_end(request: &Request, running: &mut Running) -> Option<Attempt> {
+    let patience = hedge::wait_for_answer(running.len());
+    let wake = (Instant::now() + patience).min(request.deadline);
+    tokio::select! {
+        // An attempt that panicked counts as one whose answer was lost.
+        ended = running.next(), if !running.is_empty() => ended?.ok(),
+        () = tokio::time::sleep_until(wake) => None,
+    }
 }
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -7,8 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dyketally::admission::Patience;
-use dyketally::eligibility::{Denial, Intent, ServingRegions};
+use dyketally::eligibility::{Intent, ServingRegions};
 use dyketally::freshness::FreshnessNeed;
 use dyketally::group::LogPosition;
 use dyketally::route_policy::RoutePolicy;
@@ -22,6 +21,7 @@
 use crate::database::claim::{Claim, Work};
 use crate::database::connection::Answer;
 use crate::database::target::Target;
+use crate::decision::{Reason, admit, come_back, give_up};
 use crate::event::Event;
 use crate::gateway::Gateway;
 use crate::measures::tenant_label;
@@ -29,25 +29,6 @@
 use crate::statement::checkout::{Checkout, Unanswered};
 use crate::statement::hand_over::{HandOver, HandOvers, Unrun};
 
-/// Left of the statement's time when a statement that isn't running is given up.
-const ANSWER_RESERVE: Duration = Duration::from_millis(30);
-/// Shares of a route's objective for which a statement waits behind others: in a queue that stands all
-/// who wait would be late, and what is refused at once can come back in time.
-const STANDING_QUEUE_SHARE: f64 = 0.125;
-const BURST_QUEUE_SHARE: f64 = 0.5;
-const SHORTEST_QUEUE: Duration = Duration::from_millis(50);
-/// Share of a route's objective after which a statement that found too long a queue is refused.
-const REFUSED_AFTER_SHARE: f64 = 0.4;
-/// When callers are told to come back after a refusal.
-const COME_BACK_MS: u64 = 250;
-/// The same where no database may serve the statement: a primary may be on its way to one that may,
-/// which takes about so long.
-const NOT_SERVED_COME_BACK_MS: u64 = 1_000;
-
-/// The same where the database has just started, drawn at random: callers who are refused together
-/// come back spread over the span in which they may retry, so that no second is overfull.
-const COLD_COME_BACK_MS: std::ops::RangeInclusive<u64> = 300..=2_000;
-
 /// Where a statement stands in its transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
@@ -131,11 +112,7 @@
 
     /// The statement has not run, as `_unrun` tells; the caller should come back.
     pub fn not_run(kind: FailureKind, _unrun: Unrun) -> Self {
-        let come_back_ms = match kind {
-            FailureKind::NotServedHere => NOT_SERVED_COME_BACK_MS,
-            FailureKind::DatabaseCold => rand::random_range(COLD_COME_BACK_MS),
-            _ => COME_BACK_MS,
-        };
+        let come_back_ms = come_back::after_refusal(kind, rand::random_range).as_millis();
         Self::failed(
             kind,
             &format!("the statement has not run; come back after {come_back_ms} ms"),
@@ -156,22 +133,24 @@
 
     /// The caller's key may have been taken away unnoticed, and nothing has run.
     pub fn key_uncertain() -> Self {
+        let come_back_ms = come_back::after_rollback().as_millis();
         Self::failed(
             FailureKind::KeyUncertain,
             &format!(
                 "this node is out of touch and can't know whether the key still stands; nothing has \
-                 run; connect to another node, or come back after {COME_BACK_MS} ms"
+                 run; connect to another node, or come back after {come_back_ms} ms"
             ),
         )
     }
 
     /// The statement's transaction is rolled back, and nothing was kept. Its statements may have run.
     pub fn rolled_back() -> Self {
+        let come_back_ms = come_back::after_rollback().as_millis();
         Self::failed(
             FailureKind::Aborted,
             &format!(
                 "the transaction is rolled back and nothing of it is kept; \
-                 begin it again after {COME_BACK_MS} ms"
+                 begin it again after {come_back_ms} ms"
             ),
         )
     }
@@ -224,10 +203,7 @@
         Claim {
             priority: self.route.priority + 1,
             until: self.give_up(),
-            patience: Patience {
-                burst: self.share(BURST_QUEUE_SHARE),
-                standing: self.share(STANDING_QUEUE_SHARE),
-            },
+            patience: admit::patience(self.route.latency_objective),
             work,
             user: Some(self.user()),
             regions: self.regions.clone(),
@@ -248,45 +224,9 @@
         consistency.need(self.arrived, self.connected, self.own_commit)
     }
 
-    fn share(&self, share: f64) -> Duration {
-        let objective = self.route.latency_objective;
-        objective.mul_f64(share).max(SHORTEST_QUEUE)
-    }
-
     /// When the statement is given up if it isn't running by then.
     pub fn give_up(&self) -> Instant {
-        self.deadline - ANSWER_RESERVE
-    }
-
-    /// True when the statement should be refused, given why it wasn't run: connections are short,
-    /// here or at the database, and it would be late if it waited longer.
-    pub fn is_hopeless(&self, gateway: &Gateway, refusal: FailureKind) -> bool {
-        let limit = self.route.latency_objective.mul_f64(REFUSED_AFTER_SHARE);
-        let elapsed = gateway.cx.now().saturating_since(self.arrived);
-        match refusal {
-            FailureKind::QueueTooLong | FailureKind::NotServedHere | FailureKind::DatabaseCold => {
-                true
-            }
-            FailureKind::NoConnection | FailureKind::Overloaded => elapsed >= limit,
-            _ => false,
-        }
-    }
-
-    /// What the caller is told when no further attempt is made, where the last one was refused for
-    /// `refusal`: that the statement hasn't run, but only if that is so.
-    pub fn refuse(&self, refusal: FailureKind) -> Served {
-        match self.hand_overs.unrun() {
-            Some(unrun) => Served::not_run(refusal, unrun),
-            None => Served::in_doubt("an attempt got no answer that counts"),
-        }
-    }
-
-    /// What the caller is told when the statement's time is over.
-    pub fn out_of_time(&self, refusal: FailureKind) -> Served {
-        match self.hand_overs.unrun() {
-            Some(unrun) => Served::not_run(refusal, unrun),
-            None => Served::timed_out(),
-        }
+        give_up::latest_start(self.deadline)
     }
 
     /// Hands the statement to a connection as part of `batch`. Whoever judges the answers says
@@ -321,14 +261,6 @@
         }
     }
 
-    /// Why no database of the group can serve it for now, `needs_leader` or not; counted and logged.
-    pub fn served_nowhere(&self, gateway: &Gateway, needs_leader: bool) -> Option<Denial> {
-        let intent = Intent::first(&self.regions, needs_leader);
-        let denial = gateway.denied_for_good(&self.route.group, &intent)?;
-        gateway.report_served_nowhere(&self.route, &self.regions, denial);
-        Some(denial)
-    }
-
     /// Counts an attempt at a database.
     pub fn attempt(&self, gateway: &Gateway) {
         if self.attempts.get() > 0 {
@@ -338,7 +270,7 @@
     }
 
     /// Measures what the caller is told, and logs it if it isn't an ordinary success.
-    pub fn log(&self, gateway: &Gateway, served: &Served, reason: &str) {
+    pub fn log(&self, gateway: &Gateway, served: &Served, reason: Reason) {
         let elapsed = gateway.cx.now().saturating_since(self.arrived);
         let failed = served.end.as_ref().err().map(|failure| failure.kind);
         gateway
@@ -355,7 +287,7 @@
             group: self.route.group.as_str(),
             tenant: tenant_label(self.tenant.as_ref().map(|tenant| &tenant.name)),
             outcome,
-            reason,
+            reason: &reason.to_string(),
             attempts: self.attempts.get(),
             elapsed_ms: elapsed.as_millis() as u64,
         });
--- /dev/null
+++ b/crates/dyketally-gateway/src/statement/transaction/bound.rs
@@ -0,0 +1,97 @@
+//! The connection that a transaction is bound to, and what is sent on it.
+
+use std::rc::Rc;
+
+use dyketally::statement::FailureKind;
+use tokio::time::Instant;
+use tokio::time::error::Elapsed;
+
+use super::Transaction;
+use crate::database::batch::{Batch, Reset};
+use crate::database::connection::Answer;
+use crate::database::target::Target;
+use crate::decision::Reason;
+use crate::decision::retry::{self, RETRY_PAUSE};
+use crate::gateway::Gateway;
+use crate::statement::checkout::Checkout;
+use crate::statement::request::{Request, Stage};
+
+/// The database of a transaction, and the connection on which it is open.
+pub(super) struct Bound {
+    pub(super) checkout: Checkout,
+    pub(super) target: Target,
+    /// True when the transaction was opened as only a leader does.
+    pub(super) leads: bool,
+}
+
+impl Bound {
+    /// Drops the transaction at the database, in the background.
+    pub(super) fn roll_back(self, reset: Reset) {
+        self.checkout.roll_back(reset);
+    }
+}
+
+impl Transaction {
+    /// Runs a statement at the transaction's database, or tells why that has no answer.
+    pub(super) async fn run_bound(
+        &mut self,
+        gateway: &Rc<Gateway>,
+        request: &Request,
+    ) -> Result<Answer, Reason> {
+        let reason = match self.send_until_run(gateway, request).await {
+            Ok(Some(answer)) => return Ok(answer),
+            Ok(None) => Reason::ConnectionBroke,
+            Err(_) => Reason::DatabaseSilent,
+        };
+        self.bound = None;
+        Err(reason)
+    }
+
+    /// Sends a statement to the transaction's database, again and again while
+    /// [`retry::repeats_in_transaction`]. `None` when the connection broke.
+    pub(super) async fn send_until_run(
+        &mut self,
+        gateway: &Rc<Gateway>,
+        request: &Request,
+    ) -> Result<Option<Answer>, Elapsed> {
+        loop {
+            let sending = self.send(gateway, request);
+            let answer = tokio::time::timeout_at(request.deadline, sending).await?;
+            let Some(answer) = answer else {
+                return Ok(None);
+            };
+            let refusal = refusal_of(&answer);
+            let time_left = request.give_up().duration_since(Instant::now());
+            if !retry::repeats_in_transaction(refusal, answer.state, time_left) {
+                return Ok(Some(answer));
+            }
+            tokio::time::sleep(RETRY_PAUSE).await;
+        }
+    }
+
+    async fn send(&mut self, gateway: &Rc<Gateway>, request: &Request) -> Option<Answer> {
+        let reset = self.reset_after_failure();
+        let bound = self.bound.as_mut()?;
+        request.attempt(gateway);
+        let mut batch = Batch::of(request.context(), vec![request.step(None)]);
+        batch.reset = reset;
+        let sent = gateway.cx.now();
+        let (checkout, target) = (&mut bound.checkout, &bound.target);
+        let exchange = request.exchange(gateway, checkout, target, &batch, Stage::Further);
+        let (mut answers, hand_over) = exchange.await.ok()?;
+        let answer = answers.pop()?;
+        if answer.was_rejected() {
+            hand_over.rejected();
+        }
+        if bound.leads && answer.end.is_ok() && gateway.surely_leads(&bound.target) {
+            gateway
+                .databases
+                .observe(&bound.target.group, answer.position, sent);
+        }
+        Some(answer)
+    }
+}
+
+fn refusal_of(answer: &Answer) -> Option<FailureKind> {
+    answer.end.as_ref().err().map(|failure| failure.kind)
+}
--- /dev/null
+++ b/crates/dyketally-gateway/src/statement/transaction/commit.rs
@@ -0,0 +1,91 @@
+//! Commits.
+
+use std::rc::Rc;
+
+use dyketally::statement::{FailureKind, TransactionState};
+
+use super::{Transaction, TransactionAnswer};
+use crate::database::connection::{Answer, Broken};
+use crate::decision::Reason;
+use crate::decision::refuse::{self, LostCommit, ToldOfCommit};
+use crate::gateway::Gateway;
+use crate::statement::request::{Request, Served};
+
+impl Transaction {
+    /// Ends the transaction and keeps its writes.
+    pub async fn commit(&mut self, gateway: &Rc<Gateway>, request: &Request) -> TransactionAnswer {
+        if self.failed {
+            let message = "the transaction had failed and is rolled back";
+            let served = Served::failed(FailureKind::Aborted, message);
+            return TransactionAnswer::ended(served, Reason::TransactionFailed);
+        }
+        if self.bound.is_none() {
+            let Ok(answer) = self.run_first(gateway, request).await else {
+                return self.give_up_unkept(gateway, request);
+            };
+            return self.committed(gateway, request, answer).await;
+        }
+        match self.send_until_run(gateway, request).await {
+            Ok(Some(answer)) => self.committed(gateway, request, answer).await,
+            Ok(None) => self.lost(gateway, request, LostCommit::Broke),
+            Err(_) => self.lost(gateway, request, LostCommit::DeadlinePassed),
+        }
+    }
+
+    async fn committed(
+        &mut self,
+        gateway: &Rc<Gateway>,
+        request: &Request,
+        answer: Answer,
+    ) -> TransactionAnswer {
+        if self.wrote && answer.end.is_ok() && !self.is_upheld(gateway).await {
+            self.bound = None;
+            let served = Served::in_doubt(&Broken::replaced().reason);
+            request.log(gateway, &served, Reason::DatabaseReplaced);
+            return TransactionAnswer::ended(served, Reason::DatabaseReplaced);
+        }
+        if answer.state != TransactionState::Idle {
+            self.drop_bound();
+        } else if let Some(bound) = self.bound.take() {
+            bound.checkout.give_back();
+        }
+        TransactionAnswer::answered(answer, TransactionState::Idle)
+    }
+
+    /// True unless the transaction runs at a database that led the group and no longer does.
+    async fn is_upheld(&self, gateway: &Rc<Gateway>) -> bool {
+        match &self.bound {
+            Some(bound) if bound.leads => gateway.is_upheld(&bound.target).await,
+            _ => true,
+        }
+    }
+
+    /// Ends a transaction whose commit has no answer.
+    fn lost(
+        &mut self,
+        gateway: &Rc<Gateway>,
+        request: &Request,
+        lost: LostCommit,
+    ) -> TransactionAnswer {
+        let may_have_run = request.hand_overs.unrun().is_none();
+        let served = match refuse::commit(lost, self.wrote, may_have_run) {
+            ToldOfCommit::RolledBack => return self.give_up_unkept(gateway, request),
+            ToldOfCommit::InDoubt => Served::in_doubt("the connection broke during the commit"),
+            ToldOfCommit::TimedOut => Served::timed_out(),
+        };
+        self.bound = None;
+        let reason = match lost {
+            LostCommit::Broke => Reason::ConnectionBroke,
+            LostCommit::DeadlinePassed => Reason::DatabaseSilent,
+        };
+        TransactionAnswer::ended(served, reason)
+    }
+
+    /// Ends a transaction that is lost, and of which nothing can have been kept.
+    fn give_up_unkept(&mut self, gateway: &Rc<Gateway>, request: &Request) -> TransactionAnswer {
+        self.drop_bound();
+        let served = Served::rolled_back();
+        request.log(gateway, &served, Reason::LostBeforeCommit);
+        TransactionAnswer::ended(served, Reason::LostBeforeCommit)
+    }
+}
--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -1,73 +1,86 @@
 //! Single writes: sent to the primary once, and never again after that.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use dyketally::statement::{FailureKind, TransactionState};
 use tokio::time::Instant;
 
 use crate::database::batch::Batch;
 use crate::database::claim::Work;
-use crate::database::connection::{Answer, Broken};
+use crate::database::connection::Broken;
 use crate::database::target::Target;
+use crate::decision::choose::Proof;
+use crate::decision::give_up::{self, Time};
+use crate::decision::learn;
+use crate::decision::retry::{self, AfterLoss, RETRY_PAUSE};
+use crate::decision::{Operation, Reason};
 use crate::gateway::Gateway;
-use crate::statement::checkout::{Checkout, Unanswered};
+use crate::statement::attempt::Attempt;
+use crate::statement::ending::Decided;
 use crate::statement::request::{Request, Served, Stage};
 
-/// Pause before a statement that was not run is sent again.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(25);
-
-/// What became of one attempt.
-pub enum Attempt {
-    /// The database answered, and what it says is final.
-    Answered(Answer),
-    /// The statement was not run.
-    NotRun(FailureKind),
-    /// The statement was sent and there was no whole answer.
-    Lost(Broken),
-}
-
 impl Gateway {
     /// Serves a single write.
-    pub async fn serve_write(self: &Rc<Self>, request: &Request) -> Served {
+    pub async fn serve_write(self: &Rc<Self>, request: &Request) -> Decided {
         let mut refusal = FailureKind::Busy;
         loop {
-            let group = &request.route.group;
-            let patience = self
-                .databases
-                .group(group)
-                .unled
-                .wait_until(request.give_up());
-            let target = match self.primary_by(group, &request.regions, patience).await {
+            let target = match self.primary_for_write(request).await {
                 Ok(target) => target,
-                Err(denial) if denial.is_lasting() => {
-                    self.report_served_nowhere(&request.route, &request.regions, denial);
-                    return request.refuse(FailureKind::NotServedHere);
-                }
-                Err(_) => {
-                    self.databases.group(group).unled.missed();
-                    return request.refuse(refusal);
-                }
+                Err(reason) => return request.given_up(reason, refusal),
             };
             let attempt = self.write_once(request, &target);
             match tokio::time::timeout_at(request.deadline, attempt).await {
-                Ok(Attempt::Answered(answer)) => return Served::from_database(answer),
-                Ok(Attempt::NotRun(kind))
-                    if request.is_hopeless(self, kind) || self.is_unled(group) =>
-                {
-                    return request.refuse(kind);
+                Ok(Attempt::Answered(answer)) => {
+                    return Decided::answered(Served::from_database(answer));
                 }
                 Ok(Attempt::NotRun(kind)) => refusal = kind,
-                Ok(Attempt::Lost(broken)) => return Served::in_doubt(&broken.reason),
-                Err(_) => return request.out_of_time(refusal),
+                Ok(Attempt::Lost(broken)) => match retry::after_loss(Operation::Write) {
+                    AfterLoss::InDoubt => return Decided::in_doubt(&broken),
+                    AfterLoss::SendAgain => {}
+                },
+                Err(_) => return request.given_up(Reason::DeadlinePassed, refusal),
             }
-            if Instant::now() + RETRY_PAUSE >= request.give_up() {
-                return request.refuse(refusal);
+            if let Some(reason) = self.ends_write(request, refusal) {
+                return request.given_up(reason, refusal);
             }
             self.cx.changes.next(Instant::now() + RETRY_PAUSE).await;
         }
     }
 
+    /// The primary, once it can be used, or why the write is given up without one.
+    async fn primary_for_write(self: &Rc<Self>, request: &Request) -> Result<Target, Reason> {
+        let group = &request.route.group;
+        let until = self
+            .databases
+            .group(group)
+            .unled
+            .wait_until(request.give_up());
+        let primary = self.primary_by(group, &request.regions, until).await;
+        primary.map_err(|denial| {
+            let reason = give_up::without_primary(denial.is_lasting());
+            match reason {
+                Reason::NothingMayServe => self.report_unserved(request, denial),
+                _ => self.databases.group(group).unled.missed(),
+            }
+            reason
+        })
+    }
+
+    /// Why a write is given up that was refused for `refusal`, if it is.
+    fn ends_write(&self, request: &Request, refusal: FailureKind) -> Option<Reason> {
+        let facts = self.facts(request, None, &[], 0);
+        let attempt = give_up::Attempt::NotRun(refusal);
+        let verdict = give_up::after_attempt(Operation::Write, attempt, &facts.circumstances);
+        let hopeless = self.conclude(request, verdict, facts.denial);
+        hopeless.or_else(|| {
+            let time = Time {
+                now: Instant::now(),
+                deadline: request.deadline,
+            };
+            give_up::out_of_time(Operation::Write, time, 0)
+        })
+    }
+
     async fn write_once(self: &Rc<Self>, request: &Request, target: &Target) -> Attempt {
         let mut checkout = match self.checkout(request, target, Work::Statements).await {
             Ok(checkout) => checkout,
@@ -79,10 +92,13 @@
         let exchange = request.exchange(self, &mut checkout, target, &batch, Stage::First);
         let (mut answers, hand_over) = match exchange.await {
             Ok(answered) => answered,
-            Err(unanswered) => return unanswered.into(),
+            Err(unanswered) => {
+                let asked = (target, Proof::Leads);
+                return self.without_answer(Operation::Write, asked, unanswered);
+            }
         };
         let Some(answer) = answers.pop() else {
-            return Attempt::Lost(Broken::new("the database gave no answer"));
+            return Attempt::without_all_answers();
         };
         if answer.state == TransactionState::Idle {
             checkout.give_back();
@@ -92,33 +108,12 @@
             Ok(_) => self.databases.observe(&target.group, answer.position, sent),
             Err(failure) if failure.kind.not_run() => {
                 hand_over.rejected();
-                if failure.kind == FailureKind::ReadOnly {
-                    self.follows(target);
-                }
+                let lesson = learn::from_refusal(Operation::Write, Proof::Leads, failure.kind);
+                self.learn(target, lesson);
                 return Attempt::NotRun(failure.kind);
             }
             Err(_) => {}
         }
         Attempt::Answered(answer)
     }
-
-    /// A connection to `target` for `work` of `request`, or why there is none.
-    pub async fn checkout(
-        self: &Rc<Self>,
-        request: &Request,
-        target: &Target,
-        work: Work,
-    ) -> Result<Checkout, FailureKind> {
-        let checkout = self.checkout_for(target, &request.values, request.claim(work));
-        checkout.await
-    }
-}
-
-impl From<Unanswered> for Attempt {
-    fn from(unanswered: Unanswered) -> Self {
-        match unanswered {
-            Unanswered::NotRun(kind) => Self::NotRun(kind),
-            Unanswered::Lost(broken) => Self::Lost(broken),
-        }
-    }
 }
--- a/crates/dyketally-gateway/tests/log_events.rs
+++ b/crates/dyketally-gateway/tests/log_events.rs
@@ -11,6 +11,7 @@
 use dyketally::identifiers::NodeName;
 use dyketally::statement::FailureKind;
 use dyketally_gateway::counters::{Counter, Counters, StoreCalls};
+use dyketally_gateway::decision::Reason;
 use dyketally_gateway::event::{Event, Form, Line};
 use serde_json::Value;
 
@@ -92,7 +93,7 @@
         group: "stock",
         tenant: "none",
         outcome: "Busy".to_owned(),
-        reason: "single statement",
+        reason: "a database answered",
         attempts: 2,
         elapsed_ms: 990,
     }
@@ -209,6 +210,60 @@
     assert_eq!(names.join(" "), pinned);
 }
 
+/// Builds the list of all reasons; one that is missing doesn't compile.
+macro_rules! reasons {
+    ($($reason:ident $(($kind:expr))?),* $(,)?) => {
+        const REASONS: &[Reason] = &[$(Reason::$reason $(($kind))?),*];
+
+        #[allow(dead_code)]
+        fn is_listed(reason: Reason) {
+            match reason {
+                $(Reason::$reason { .. })|* => {}
+            }
+        }
+    };
+}
+
+reasons! {
+    Answered,
+    NothingMayServe,
+    NotServedThere,
+    QueueTooLong,
+    DatabaseCold,
+    ConnectionsShort,
+    PrimaryUnavailable,
+    NoPrimaryInTime,
+    TimeUsedUp,
+    DeadlinePassed,
+    AnswerLost,
+    ConnectionBroke,
+    DatabaseSilent,
+    RefusedInTransaction(FailureKind::ReadOnly),
+    TransactionEnded,
+    TransactionFailed,
+    LostBeforeCommit,
+    DatabaseReplaced,
+    OverQuota,
+    KeyUncertain,
+}
+
+/// `reason` of `statement_decided`.
+#[test]
+fn reasons_are_as_pinned() {
+    let reasons: Vec<String> = REASONS.iter().map(Reason::to_string).collect();
+    let pinned = file("tests/pins/reasons.txt");
+    assert_eq!(reasons, pinned.lines().collect::<Vec<_>>());
+}
+
+#[test]
+fn the_page_names_each_reason() {
+    let page = file("../../docs/logs.md");
+    for reason in REASONS {
+        let text = reason.to_string().replace("ReadOnly", "...");
+        assert!(page.contains(&format!("`{text}`")), "{text}");
+    }
+}
+
 /// The kinds of the counter `denied`.
 #[test]
 fn denials_keep_their_names() {
