--- a/crates/dyketally-gateway/src/fleet/peer.rs
+++ b/crates/dyketally-gateway/src/fleet/peer.rs
@@ -229,7 +229,7 @@
                 wanted,
                 role,
             } => {
-                if let Some(decision) = self.gateway.account(&tenant, wanted, role) {
+                if let Some(decision) = self.gateway.quotas.account(&tenant, wanted, role) {
                     self.send(from, &PeerMessage::PermitDecided { round, decision });
                 }
             }
--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -47,7 +47,7 @@
     /// Who leads which group, as far as this node found out itself.
     pub leadership: Leadership,
     /// Quotas of tenants.
-    pub quotas: Quotas,
+    pub quotas: Rc<Quotas>,
     /// Sessions that are open, and how many there may be.
     pub sessions: Sessions,
     /// When the log reported last that no database of a group may serve some statement.
@@ -67,11 +67,12 @@
         store_calls: Arc<StoreCalls>,
     ) -> Rc<Self> {
         let cx = Context::new(settings, store_calls);
-        let quotas = Quotas::new(cx.settings.bounds.quota_slack);
+        let fleet = Fleet::new(cx.clone());
+        let quotas = Quotas::new(cx.clone(), fleet.clone());
         let sessions = Sessions::new(cx.settings.node.capacity());
         Rc::new(Self {
             databases: Databases::new(cx.clone(), database_protocol),
-            fleet: Fleet::new(cx.clone()),
+            fleet,
             cx,
             caller_protocol,
             feed: Rc::default(),
--- a/crates/dyketally-gateway/src/quota/mod.rs
+++ b/crates/dyketally-gateway/src/quota/mod.rs
@@ -1,8 +1,11 @@
 //! Permits for operations of tenants that have a quota. A permit is asked for at the tenant's
 //! accountant, before the operation's first statement is sent; see [`dyketally::quota`].
+//!
+//! [`Quotas`] owns what this node has granted as an accountant, the operations that it may still permit,
+//! and what it learnt from questions. It relies on the fleet for the nodes and the way to them.
 
 mod question;
-mod reach;
+mod reachability;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,8 +19,9 @@
 use tokio::time::Instant;
 
 use self::question::Questions;
-use self::reach::Reach;
-use crate::gateway::Gateway;
+use self::reachability::Reachability;
+use crate::context::Context;
+use crate::fleet::Fleet;
 use crate::measures::Stage;
 
 /// Nodes that share a quota at least, as far as a node goes that has nobody to ask: after a start it
@@ -26,49 +30,48 @@
 
 /// Quotas as this node keeps them.
 pub struct Quotas {
+    cx: Rc<Context>,
+    fleet: Rc<Fleet>,
     accountant: RefCell<Accountant>,
     allowances: RefCell<HashMap<TenantName, Allowance>>,
     questions: Questions,
-    reach: Reach,
+    reachability: Reachability,
 }
 
 impl Quotas {
-    /// Nothing is known yet; a window may hold `tolerated` operations more than rate and burst give.
-    pub fn new(tolerated: u32) -> Self {
-        Self {
+    /// Nothing is known yet.
+    pub fn new(cx: Rc<Context>, fleet: Rc<Fleet>) -> Rc<Self> {
+        let tolerated = cx.settings.bounds.quota_slack;
+        Rc::new(Self {
+            cx,
+            fleet,
             accountant: RefCell::new(Accountant::new(tolerated)),
             allowances: RefCell::default(),
             questions: Questions::default(),
-            reach: Reach::default(),
-        }
+            reachability: Reachability::default(),
+        })
     }
 
-    fn allowance<T>(
-        &self,
-        gateway: &Gateway,
-        tenant: &TenantName,
-        act: impl FnOnce(&mut Allowance) -> T,
-    ) -> T {
+    fn allowance<T>(&self, tenant: &TenantName, act: impl FnOnce(&mut Allowance) -> T) -> T {
         let mut allowances = self.allowances.borrow_mut();
         let allowance = allowances
             .entry(tenant.clone())
-            .or_insert_with(|| Allowance::new(gateway.cx.now(), rand::random()));
+            .or_insert_with(|| Allowance::new(self.cx.now(), rand::random()));
         act(allowance)
     }
 }
 
 /// Leave to run one operation. Dropping it uses it up; [`Permit::give_back`] keeps it for another.
 pub struct Permit {
-    limited: Option<(Rc<Gateway>, TenantName)>,
+    limited: Option<(Rc<Quotas>, TenantName)>,
 }
 
 impl Permit {
-    /// Takes in that the operation hasn't run.
+    /// Gives it back, since the operation hasn't run.
     pub fn give_back(self) {
-        if let Some((gateway, tenant)) = self.limited {
-            let now = gateway.cx.now();
-            let quotas = &gateway.quotas;
-            quotas.allowance(&gateway, &tenant, |allowance| allowance.give_back(now));
+        if let Some((quotas, tenant)) = self.limited {
+            let now = quotas.cx.now();
+            quotas.allowance(&tenant, |allowance| allowance.give_back(now));
         }
     }
 }
@@ -80,7 +83,7 @@
     pub retry_after: Duration,
 }
 
-impl Gateway {
+impl Quotas {
     /// Leave to run one operation of `tenant`; nothing is waited for beyond `until`.
     ///
     /// # Errors
@@ -97,7 +100,7 @@
         let name = &tenant.name;
         let now = self.cx.now();
         let held = |allowance: &mut Allowance| allowance.take(now);
-        if !self.quotas.allowance(self, name, held) {
+        if !self.allowance(name, held) {
             let began = Instant::now();
             let obtained = self.obtain(name, quota, until).await;
             self.cx.measures.spent(Stage::Permit, began.elapsed());
@@ -117,9 +120,7 @@
         quota: Quota,
         until: Instant,
     ) -> Result<(), QuotaExceeded> {
-        let wanted = self
-            .quotas
-            .allowance(self, tenant, |allowance| allowance.wanted());
+        let wanted = self.allowance(tenant, |allowance| allowance.wanted());
         let Some(decision) = self.ask_accountants(tenant, wanted, until).await else {
             return self.permit_alone(tenant, quota);
         };
@@ -130,7 +131,7 @@
                 strained,
             } => {
                 let now = self.cx.now();
-                self.quotas.allowance(self, tenant, |allowance| {
+                self.allowance(tenant, |allowance| {
                     allowance.granted(now, operations, strained);
                 });
                 tokio::time::sleep(after).await;
@@ -147,7 +148,7 @@
         let nodes = nodes.max(NODES_ASSUMED);
         let now = self.cx.now();
         let alone = |allowance: &mut Allowance| allowance.take_alone(now, quota, nodes);
-        let taken = self.quotas.allowance(self, tenant, alone);
+        let taken = self.allowance(tenant, alone);
         taken.map_err(|retry_after| QuotaExceeded { retry_after })
     }
 
@@ -162,11 +163,11 @@
         let routes = self.cx.routes();
         let quota = routes.tenants.as_ref()?.tenant(tenant)?.quota?;
         let now = self.cx.now();
-        let reach = self.quotas.reach.share();
-        let mut accountant = self.quotas.accountant.borrow_mut();
+        let reach = self.reachability.share();
+        let mut accountant = self.accountant.borrow_mut();
         let decision = accountant.decide(now, tenant, quota, wanted, role, reach);
         if accountant.needs_reach(now, tenant, quota, role) {
-            self.find_reach();
+            self.find_reachability();
         }
         Some(decision)
     }
--- a/crates/dyketally-gateway/src/quota/question.rs
+++ b/crates/dyketally-gateway/src/quota/question.rs
@@ -11,10 +11,10 @@
 use dyketally::quota::{Decision, Role};
 use tokio::time::Instant;
 
+use super::Quotas;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::passed_over::PassedOver;
 use crate::fleet::peer::Peers;
-use crate::gateway::Gateway;
 
 /// Nodes that may be asked: the accountant and its stand-ins. In a split, an operation on the side with 35%
 /// of the nodes finds none of eight there 3 times in 100 (0.65 to the power of 8), none of four 18 times.
@@ -74,7 +74,7 @@
     }
 }
 
-impl Gateway {
+impl Quotas {
     /// What the accountant of `tenant`, or else a stand-in, says to a question for `wanted`
     /// operations; `None` when none of them answers.
     pub(super) async fn ask_accountants(
@@ -84,7 +84,7 @@
         until: Instant,
     ) -> Option<Decision> {
         let peers = self.fleet.peers.borrow().clone()?;
-        let questions = &self.quotas.questions;
+        let questions = &self.questions;
         let mut role = Role::Accountant;
         for node in self.accountants(tenant) {
             let asked_as = std::mem::replace(&mut role, Role::StandIn);
--- a/crates/dyketally-gateway/src/quota/reach.rs
+++ b/crates/dyketally-gateway/src/quota/reachability.rs
@@ -7,8 +7,8 @@
 use rand::seq::IndexedRandom;
 use tokio::time::Instant;
 
+use super::Quotas;
 use crate::fleet::message::PeerMessage;
-use crate::gateway::Gateway;
 
 /// Nodes that are asked each time, drawn at random: their number doesn't grow with the fleet.
 const ASKED: usize = 24;
@@ -22,12 +22,12 @@
 
 /// What was last found out.
 #[derive(Debug, Default)]
-pub(super) struct Reach {
+pub(super) struct Reachability {
     found: Cell<Option<(Instant, f64)>>,
     asked: Cell<Option<Instant>>,
 }
 
-impl Reach {
+impl Reachability {
     /// The share, taken for all while it isn't known.
     pub(super) fn share(&self) -> f64 {
         let found = self.found.get().filter(|(at, _)| at.elapsed() < HOLDS);
@@ -35,21 +35,24 @@
     }
 }
 
-impl Gateway {
+impl Quotas {
     /// Finds out the share of the nodes that this one reaches, unless that was done lately.
-    pub(super) fn find_reach(self: &Rc<Self>) {
-        let reach = &self.quotas.reach;
-        let is_recent = reach.asked.get().is_some_and(|at| at.elapsed() < INTERVAL);
+    pub(super) fn find_reachability(self: &Rc<Self>) {
+        let reachability = &self.reachability;
+        let is_recent = reachability
+            .asked
+            .get()
+            .is_some_and(|at| at.elapsed() < INTERVAL);
         let Some(peers) = self.fleet.peers.borrow().clone().filter(|_| !is_recent) else {
             return;
         };
-        reach.asked.set(Some(Instant::now()));
-        let gateway = self.clone();
+        reachability.asked.set(Some(Instant::now()));
+        let quotas = self.clone();
         tokio::task::spawn_local(async move {
-            let others = gateway
+            let others = quotas
                 .fleet
                 .membership
-                .others(&gateway.cx.settings.node.name);
+                .others(&quotas.cx.settings.node.name);
             let asked: Vec<_> = others.choose_multiple(&mut rand::rng(), ASKED).collect();
             let mut replies = peers.collect_reach_replies();
             let question = PeerMessage::ReachAsked {
@@ -67,11 +70,8 @@
             }
             // This node reaches itself.
             let share = (replied + 1) as f64 / (asked.len() + 1) as f64;
-            gateway
-                .quotas
-                .reach
-                .found
-                .set(Some((Instant::now(), share)));
+            let found = Some((Instant::now(), share));
+            quotas.reachability.found.set(found);
         });
     }
 }
--- a/crates/dyketally-gateway/src/session/mod.rs
+++ b/crates/dyketally-gateway/src/session/mod.rs
@@ -29,8 +29,8 @@
 use crate::gateway::Gateway;
 use crate::ports::{CallerMessage, CallerStatement};
 use crate::quota::QuotaExceeded;
+use crate::statement::dispatch::Dispatches;
 use crate::statement::ending::Decided;
-use crate::statement::hand_over::HandOvers;
 use crate::statement::request::{Execution, Request, Served};
 use crate::statement::transaction::Transaction;
 
@@ -336,7 +336,7 @@
     async fn run_single(&mut self, request: Request, access: Access) -> Served {
         let request = Rc::new(request);
         let tenant = request.tenant.as_ref();
-        let permit = match self.gateway.permit(tenant, request.give_up()).await {
+        let permit = match self.gateway.quotas.permit(tenant, request.give_up()).await {
             Ok(permit) => permit,
             Err(exceeded) => {
                 let served = over_quota(&exceeded);
@@ -348,7 +348,7 @@
             Access::Read => self.gateway.serve_read(&request).await,
             Access::Write => self.gateway.serve_write(&request).await,
         };
-        if request.hand_overs.unrun().is_some() {
+        if request.dispatches.proven_not_run().is_some() {
             permit.give_back();
         }
         if access == Access::Write && served.end.is_ok() {
@@ -366,7 +366,7 @@
     ) -> Result<(), Served> {
         if transaction.permit.is_none() {
             let tenant = request.tenant.as_ref();
-            let permit = self.gateway.permit(tenant, request.give_up()).await;
+            let permit = self.gateway.quotas.permit(tenant, request.give_up()).await;
             let permit = permit.map_err(|exceeded| {
                 let served = over_quota(&exceeded);
                 request.log(&self.gateway, &served, Reason::OverQuota);
@@ -406,7 +406,7 @@
             route,
             tenant,
             attempts: Cell::new(0),
-            hand_overs: HandOvers::default(),
+            dispatches: Dispatches::default(),
         }
     }
 }
--- a/crates/dyketally-gateway/src/statement/ending.rs
+++ b/crates/dyketally-gateway/src/statement/ending.rs
@@ -136,7 +136,7 @@
     /// What the caller is told when the statement is given up for `reason`, where the last attempt was
     /// refused for `refusal`: that it hasn't run, but only if that is so.
     pub(super) fn given_up(&self, reason: Reason, refusal: FailureKind) -> Decided {
-        let proof = self.hand_overs.unrun();
+        let proof = self.dispatches.proven_not_run();
         let served = match refuse::single(reason, refusal, proof) {
             refuse::Told::NotRun { refusal, proof } => Served::not_run(refusal, proof),
             refuse::Told::InDoubt => Served::in_doubt("an attempt got no answer that counts"),
--- a/crates/dyketally-gateway/src/statement/mod.rs
+++ b/crates/dyketally-gateway/src/statement/mod.rs
@@ -3,9 +3,9 @@
 mod attempt;
 pub mod checkout;
 mod choose;
+pub mod dispatch;
 pub mod eligibility;
 pub mod ending;
-pub mod hand_over;
 pub mod read;
 pub mod request;
 pub mod target;
--- a/crates/dyketally-gateway/src/statement/read.rs
+++ b/crates/dyketally-gateway/src/statement/read.rs
@@ -26,8 +26,8 @@
 use crate::ports::OwnStatement;
 use crate::statement::attempt::Attempt;
 use crate::statement::choose::Choice;
+use crate::statement::dispatch::Dispatch;
 use crate::statement::ending::Decided;
-use crate::statement::hand_over::HandOver;
 use crate::statement::request::{Request, Served, Stage};
 
 /// Attempts of one read that wait for a connection or an answer.
@@ -79,7 +79,8 @@
             };
             let over = give_up::out_of_time(Operation::Read, time, running.len());
             if let Some(reason) = over {
-                if reason == Reason::DeadlinePassed && request.hand_overs.unrun().is_some() {
+                if reason == Reason::DeadlinePassed && request.dispatches.proven_not_run().is_some()
+                {
                     // What still waits for a connection must not run once the caller is told so.
                     running.iter().for_each(JoinHandle::abort);
                 }
@@ -130,7 +131,7 @@
         let batch = Batch::of(request.context(), steps(request, *proof));
         let sent = self.cx.now();
         let exchange = request.exchange(self, &mut checkout, target, &batch, Stage::First);
-        let (answers, hand_over) = match exchange.await {
+        let (answers, dispatch) = match exchange.await {
             Ok(answered) => answered,
             Err(unanswered) => {
                 let asked = (target, *proof);
@@ -146,13 +147,13 @@
                 let Some(answer) = answers.next() else {
                     return Attempt::without_all_answers();
                 };
-                self.judge_holding_read(target, *position, answer, hand_over)
+                self.judge_holding_read(target, *position, answer, dispatch)
             }
             Proof::Leads => {
                 let (Some(begun), Some(answer)) = (answers.next(), answers.next()) else {
                     return Attempt::without_all_answers();
                 };
-                let judged = self.judge_leading_read(target, sent, begun, answer, hand_over);
+                let judged = self.judge_leading_read(target, sent, begun, answer, dispatch);
                 judged.await
             }
         }
@@ -164,13 +165,13 @@
         target: &Target,
         position: LogPosition,
         answer: Answer,
-        hand_over: HandOver,
+        dispatch: Dispatch,
     ) -> Attempt {
         let proof = Proof::Holds(position);
         if let Err(failure) = &answer.end
             && failure.kind.not_run()
         {
-            hand_over.rejected();
+            dispatch.rejected();
             let lesson = learn::from_refusal(Operation::Read, proof, failure.kind);
             self.learn(target, lesson);
             return Attempt::NotRun(failure.kind);
@@ -191,14 +192,14 @@
         sent: Timestamp,
         begun: Answer,
         answer: Answer,
-        hand_over: HandOver,
+        dispatch: Dispatch,
     ) -> Attempt {
         let kind_of = |answer: &Answer| answer.end.as_ref().err().map(|failure| failure.kind);
         let (refused, failed) = (kind_of(&begun), kind_of(&answer));
         self.learn(target, learn::from_behind_begin(refused, failed));
         match learn::behind_begin(refused, failed) {
             BehindBegin::NotRun(kind) => {
-                hand_over.rejected();
+                dispatch.rejected();
                 Attempt::NotRun(kind)
             }
             BehindBegin::ProvesNothing => {
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -27,7 +27,7 @@
 use crate::measures::tenant_label;
 use crate::ports::DatabaseUser;
 use crate::statement::checkout::{Checkout, Unanswered};
-use crate::statement::hand_over::{HandOver, HandOvers, Unrun};
+use crate::statement::dispatch::{Dispatch, Dispatches, ProvenNotRun};
 
 /// Where a statement stands in its transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
     /// Attempts made at databases.
     pub attempts: Cell<u32>,
     /// Whether it may have run.
-    pub hand_overs: HandOvers,
+    pub dispatches: Dispatches,
 }
 
 /// What a caller is told of a statement.
@@ -110,8 +110,8 @@
         }
     }
 
-    /// The statement has not run, as `_unrun` tells; the caller should come back.
-    pub fn not_run(kind: FailureKind, _unrun: Unrun) -> Self {
+    /// The statement has not run, as `_proof` tells; the caller should come back.
+    pub fn not_run(kind: FailureKind, _proof: ProvenNotRun) -> Self {
         let come_back_ms = come_back::after_refusal(kind, rand::random_range).as_millis();
         Self::failed(
             kind,
@@ -241,7 +241,7 @@
         target: &Target,
         batch: &Batch,
         stage: Stage,
-    ) -> Result<(Vec<Answer>, HandOver), Unanswered> {
+    ) -> Result<(Vec<Answer>, Dispatch), Unanswered> {
         let intent = match stage {
             Stage::First => Intent::first(&self.regions, batch.needs_leader()),
             Stage::Further => Intent::further(batch.needs_leader()),
@@ -250,11 +250,11 @@
         checkout.wait_for_turn(batch).await;
         let permission = gateway.may_send(target, &intent);
         let permission = permission.map_err(|denial| Unanswered::NotRun(failure_kind(denial)))?;
-        let hand_over = self.hand_overs.begin();
+        let dispatch = self.dispatches.begin();
         match gateway.exchange(checkout, target, batch, permission).await {
-            Ok(answers) => Ok((answers, hand_over)),
+            Ok(answers) => Ok((answers, dispatch)),
             Err(Unanswered::NotRun(kind)) => {
-                hand_over.rejected();
+                dispatch.rejected();
                 Err(Unanswered::NotRun(kind))
             }
             Err(Unanswered::Lost(broken)) => Err(Unanswered::Lost(broken)),
--- a/crates/dyketally-gateway/src/statement/transaction/bound.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/bound.rs
@@ -78,10 +78,10 @@
         let sent = gateway.cx.now();
         let (checkout, target) = (&mut bound.checkout, &bound.target);
         let exchange = request.exchange(gateway, checkout, target, &batch, Stage::Further);
-        let (mut answers, hand_over) = exchange.await.ok()?;
+        let (mut answers, dispatch) = exchange.await.ok()?;
         let answer = answers.pop()?;
         if answer.was_rejected() {
-            hand_over.rejected();
+            dispatch.rejected();
         }
         if bound.leads && answer.end.is_ok() && gateway.surely_leads(&bound.target) {
             gateway
--- a/crates/dyketally-gateway/src/statement/transaction/commit.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/commit.rs
@@ -67,7 +67,7 @@
         request: &Request,
         lost: LostCommit,
     ) -> TransactionAnswer {
-        let may_have_run = request.hand_overs.unrun().is_none();
+        let may_have_run = request.dispatches.proven_not_run().is_none();
         let served = match refuse::commit(lost, self.wrote, may_have_run) {
             ToldOfCommit::RolledBack => return self.give_up_unkept(gateway, request),
             ToldOfCommit::InDoubt => Served::in_doubt("the connection broke during the commit"),
--- a/crates/dyketally-gateway/src/statement/transaction/first.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/first.rs
@@ -95,7 +95,7 @@
         let batch = self.opening(request, proof);
         let sent = gateway.cx.now();
         let exchange = request.exchange(gateway, &mut checkout, &target, &batch, Stage::First);
-        let (answers, hand_over) = match exchange.await {
+        let (answers, dispatch) = match exchange.await {
             Ok(answered) => answered,
             Err(unanswered) => {
                 return gateway.without_answer(OPERATION, (&target, proof), unanswered);
@@ -106,7 +106,7 @@
             return Attempt::without_all_answers();
         };
         if let Err(failure) = &begun.end {
-            hand_over.rejected();
+            dispatch.rejected();
             learn_from_refusal(gateway, &target, proof, failure.kind);
             if begun.state == TransactionState::Idle {
                 checkout.give_back();
@@ -138,7 +138,7 @@
         }
         match &answer.end {
             Err(failure) if failure.kind.not_run() => {
-                hand_over.rejected();
+                dispatch.rejected();
                 learn_from_refusal(gateway, &target, proof, failure.kind);
                 Attempt::NotRun(failure.kind)
             }
--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -90,7 +90,7 @@
         request.attempt(self);
         let sent = self.cx.now();
         let exchange = request.exchange(self, &mut checkout, target, &batch, Stage::First);
-        let (mut answers, hand_over) = match exchange.await {
+        let (mut answers, dispatch) = match exchange.await {
             Ok(answered) => answered,
             Err(unanswered) => {
                 let asked = (target, Proof::Leads);
@@ -107,7 +107,7 @@
             Ok(_) if !self.is_upheld(target).await => return Attempt::Lost(Broken::replaced()),
             Ok(_) => self.databases.observe(&target.group, answer.position, sent),
             Err(failure) if failure.kind.not_run() => {
-                hand_over.rejected();
+                dispatch.rejected();
                 let lesson = learn::from_refusal(Operation::Write, Proof::Leads, failure.kind);
                 self.learn(target, lesson);
                 return Attempt::NotRun(failure.kind);
