--- a/crates/dyketally-gateway/tests/dispatch.rs
+++ b/crates/dyketally-gateway/tests/dispatch.rs
@@ -1,6 +1,6 @@
 //! When a statement counts as one that hasn't run.
 
-use dyketally_gateway::statement::hand_over::HandOvers;
+use dyketally_gateway::statement::dispatch::Dispatches;
 use rstest::rstest;
 
 /// How one attempt ends.
@@ -16,11 +16,11 @@
 
 const ENDS: [End; 3] = [End::NotHandedOver, End::Rejected, End::Dropped];
 
-fn attempt(hand_overs: &HandOvers, end: End) {
+fn attempt(dispatches: &Dispatches, end: End) {
     match end {
         End::NotHandedOver => {}
-        End::Rejected => hand_overs.begin().rejected(),
-        End::Dropped => drop(hand_overs.begin()),
+        End::Rejected => dispatches.begin().rejected(),
+        End::Dropped => drop(dispatches.begin()),
     }
 }
 
@@ -31,19 +31,23 @@
     #[values(0, 1, 2)] third: usize,
 ) {
     let ends = [first, second, third].map(|end| ENDS[end]);
-    let hand_overs = HandOvers::default();
+    let dispatches = Dispatches::default();
     for end in ends {
-        attempt(&hand_overs, end);
+        attempt(&dispatches, end);
     }
     let may_have_run = ends.contains(&End::Dropped);
-    assert_eq!(hand_overs.unrun().is_none(), may_have_run, "{ends:?}");
+    assert_eq!(
+        dispatches.proven_not_run().is_none(),
+        may_have_run,
+        "{ends:?}"
+    );
 }
 
 #[test]
 fn a_statement_that_waits_for_an_answer_may_have_run() {
-    let hand_overs = HandOvers::default();
-    let running = hand_overs.begin();
-    assert!(hand_overs.unrun().is_none());
+    let dispatches = Dispatches::default();
+    let running = dispatches.begin();
+    assert!(dispatches.proven_not_run().is_none());
     running.rejected();
-    assert!(hand_overs.unrun().is_some());
+    assert!(dispatches.proven_not_run().is_some());
 }
--- a/crates/dyketally-gateway/tests/log_events.rs
+++ b/crates/dyketally-gateway/tests/log_events.rs
@@ -39,7 +39,7 @@
     ConfigurationInForce { revision: 7, routes: 3, stored: 41 }
     ConfigurationNotNewer { revision: 6, in_force: 7, stored: 40 }
     ConfigurationReceived {
-        key: "op/config".to_owned(),
+        key: "settings/routes".to_owned(),
         stored: 41,
         source: "store".to_owned(),
         form: Form::Difference,
@@ -52,7 +52,7 @@
         watch_lost_for_ms: Some(900),
     }
     ConfigurationConfirmed {}
-    DocumentRefused { key: "op/config", reason: "a route has no group" }
+    DocumentRefused { key: "settings/routes", reason: "a route has no group" }
     SessionsFull { full: true, open: 100 }
     EvacuationBegan { zone: "east", is_known: true, leaves_a_zone: true }
     EvacuationEnded { zone: "east" }
@@ -68,8 +68,8 @@
     NodeGone { node: "node-2", removed: true }
     RelayFollowed { relay: "127.0.0.1:7000".to_owned() }
     RelayLost { relay: "127.0.0.1:7000".to_owned(), reason: "it is silent" }
-    StoreLost { prefix: "op/", reason: "no answer".to_owned() }
-    StoreRegained { prefix: "op/" }
+    StoreLost { prefix: "settings/", reason: "no answer".to_owned() }
+    StoreRegained { prefix: "settings/" }
     DutyTaken { token: 12 }
     DutyLost { reason: "its lease ended" }
     Isolated {}
