--- a/crates/dyketally-gateway/src/database/availability.rs
+++ b/crates/dyketally-gateway/src/database/availability.rs
@@ -10,7 +10,7 @@
 
 /// Since when a group has had no primary that this node can use.
 #[derive(Debug, Default)]
-pub struct Unled {
+pub struct PrimaryAvailability {
     loss: Cell<Option<Loss>>,
 }
 
@@ -28,15 +28,15 @@
     }
 }
 
-impl Unled {
-    /// Takes in that an attempt found no primary that can be used.
-    pub fn missed(&self) {
+impl PrimaryAvailability {
+    /// Records that an attempt found no primary that can be used.
+    pub fn attempt_failed(&self) {
         let last = Instant::now();
         let first = self.current().map_or(last, |loss| loss.first);
         self.loss.set(Some(Loss { first, last }));
     }
 
-    /// Takes in that the primary answered.
+    /// Records that the primary answered.
     pub fn answered(&self) {
         self.loss.set(None);
     }
@@ -46,11 +46,6 @@
         (Instant::now() + wait::for_primary(self.missing_for())).min(latest)
     }
 
-    /// True when statements shouldn't wait for the primary any longer.
-    pub fn is_out_of_reach(&self) -> bool {
-        wait::is_unavailable(self.missing_for())
-    }
-
     /// Time since the first of the attempts that found no primary; zero if there is none.
     pub fn missing_for(&self) -> Duration {
         self.current()
--- a/crates/dyketally-gateway/src/database/pool/waiting.rs
+++ b/crates/dyketally-gateway/src/database/pool/waiting.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::guards::Waiting;
-use super::{CheckoutError, OWN_PRIORITY, Pool, RESERVED_SHARE};
+use super::{CheckoutError, OWN_PRIORITY, Pool};
 use crate::database::claim::Work;
 
 /// What someone waits for.
@@ -33,16 +33,14 @@
         match want {
             // The gateway's own statements are few, and tell it what it must know.
             Want::Connection(Work::Control) => true,
-            Want::Connection(_) if priority == OWN_PRIORITY => self.loading.admits(),
-            Want::Connection(work) => may_run && self.admits_work(work) && self.loading.admits(),
+            Want::Connection(_) if priority == OWN_PRIORITY => self.pacer.admits(),
+            Want::Connection(work) => may_run && self.admits_work(work) && self.pacer.admits(),
             Want::Turn => may_run,
         }
     }
 
     fn admits_work(&self, work: Work) -> bool {
-        let limit = self.effective_limit();
-        let reserved = limit / RESERVED_SHARE;
-        work != Work::Transaction || self.pinned.get() < limit.saturating_sub(reserved).max(1)
+        work != Work::Transaction || self.pinned.get() < self.size.limit_of_transactions()
     }
 
     pub(super) async fn wait(
--- a/crates/dyketally-gateway/src/decision/choose.rs
+++ b/crates/dyketally-gateway/src/decision/choose.rs
@@ -23,10 +23,14 @@
 /// Penalty of a database that failed a moment ago, in milliseconds: it goes last of all.
 pub const SUSPENDED_PENALTY_MS: f64 = 10_000.0;
 
-/// Latency to expect of an idle database in this node's zone, region, and elsewhere, in milliseconds: a
-/// statement of about 20 ms and the way to and fro. Not measured; samples replace it.
+/// Latency to expect of an idle database in this node's zone, in milliseconds. These three order databases
+/// that this node has no samples of yet, and are the least that is expected of any: a statement takes about
+/// 20 ms, and the network adds 3 ms between zones and about 40 ms between regions, there and back. Not
+/// measured.
 const SAME_ZONE_MS: f64 = 20.0;
+/// The same in another zone of this node's region.
 const SAME_REGION_MS: f64 = 23.0;
+/// The same in another region.
 const OTHER_REGION_MS: f64 = 55.0;
 
 /// Latency to expect of an idle database, in milliseconds.
--- a/crates/dyketally-gateway/src/decision/give_up.rs
+++ b/crates/dyketally-gateway/src/decision/give_up.rs
@@ -54,21 +54,21 @@
     }
 }
 
-/// What is known as an attempt has ended.
-#[derive(Clone, Copy, Debug)]
-pub struct Circumstances {
+/// What is known as an attempt has ended. Some of it costs a look at all databases of the group, so that
+/// the rule asks only for what it needs; asking changes nothing.
+pub trait Circumstances {
     /// Time since the statement arrived.
-    pub elapsed: Duration,
+    fn elapsed(&self) -> Duration;
     /// The route's latency objective.
-    pub objective: Duration,
+    fn objective(&self) -> Duration;
     /// The group's primary.
-    pub primary: Primary,
+    fn primary(&self) -> Primary;
     /// True while some database of the group may serve the statement.
-    pub something_may_serve: bool,
+    fn something_may_serve(&self) -> bool;
     /// Attempts of the statement that still run.
-    pub running: usize,
+    fn running(&self) -> usize;
     /// True when a database that wasn't tried may serve the statement as well.
-    pub has_untried: bool,
+    fn has_untried(&self) -> bool;
 }
 
 /// What becomes of the statement.
@@ -108,46 +108,58 @@
 pub fn after_attempt(
     operation: Operation,
     attempt: Attempt,
-    circumstances: &Circumstances,
+    circumstances: &impl Circumstances,
 ) -> Verdict {
-    let Circumstances {
-        elapsed, objective, ..
-    } = *circumstances;
     let hopeless = match attempt {
-        Attempt::NotRun(refusal) => hopeless(refusal, elapsed, objective),
+        Attempt::NotRun(refusal) => {
+            hopeless(refusal, circumstances.elapsed(), circumstances.objective())
+        }
         Attempt::Lost | Attempt::NotStarted => None,
     };
-    let has_alternative = circumstances.running > 0 || circumstances.has_untried;
     match (operation, attempt) {
         (_, Attempt::NotStarted) => without_database(circumstances),
-        (Operation::Read | Operation::Write, Attempt::Lost) => Verdict::go_on(),
+        (Operation::Read | Operation::Write, Attempt::Lost) => Verdict::GO_ON,
         (Operation::Read | Operation::Write, Attempt::NotRun(_)) => match hopeless {
-            Some(reason) => Verdict::unless(has_alternative, reason),
-            None => Verdict::by_primary(circumstances.primary, has_alternative),
+            Some(_) if has_alternative(circumstances) => Verdict::GO_ON,
+            Some(reason) => Verdict::give_up(reason),
+            None => by_primary(circumstances),
         },
         (Operation::FirstOfTransaction, _) => match hopeless {
-            Some(reason) if !has_alternative => Verdict::give_up(reason),
-            _ if !circumstances.something_may_serve => Verdict::give_up(Reason::NothingMayServe),
-            _ => Verdict::by_primary(circumstances.primary, has_alternative),
+            Some(reason) if !has_alternative(circumstances) => Verdict::give_up(reason),
+            _ if !circumstances.something_may_serve() => Verdict::give_up(Reason::NothingMayServe),
+            _ => by_primary(circumstances),
         },
     }
 }
 
-/// Whether a statement is given up that there was no database to send to.
-fn without_database(circumstances: &Circumstances) -> Verdict {
-    match circumstances.something_may_serve {
+fn has_alternative(circumstances: &impl Circumstances) -> bool {
+    circumstances.running() > 0 || circumstances.has_untried()
+}
+
+/// Whether a statement is given up that there was no database to send to. Nothing of it runs then, and no
+/// database is left to try.
+fn without_database(circumstances: &impl Circumstances) -> Verdict {
+    match circumstances.something_may_serve() {
         false => Verdict::give_up(Reason::NothingMayServe),
-        true => Verdict::by_primary(circumstances.primary, false),
+        true => {
+            let primary = circumstances.primary();
+            let gives_up = primary.is_unavailable();
+            Verdict::of_primary(primary, gives_up)
+        }
     }
 }
 
+fn by_primary(circumstances: &impl Circumstances) -> Verdict {
+    let primary = circumstances.primary();
+    let gives_up = primary.is_unavailable() && !has_alternative(circumstances);
+    Verdict::of_primary(primary, gives_up)
+}
+
 impl Verdict {
-    fn go_on() -> Self {
-        Self {
-            give_up: None,
-            missed_primary: false,
-        }
-    }
+    const GO_ON: Self = Self {
+        give_up: None,
+        missed_primary: false,
+    };
 
     fn give_up(reason: Reason) -> Self {
         Self {
@@ -156,15 +168,7 @@
         }
     }
 
-    fn unless(has_alternative: bool, reason: Reason) -> Self {
-        match has_alternative {
-            true => Self::go_on(),
-            false => Self::give_up(reason),
-        }
-    }
-
-    fn by_primary(primary: Primary, has_alternative: bool) -> Self {
-        let gives_up = primary.is_unavailable() && !has_alternative;
+    fn of_primary(primary: Primary, gives_up: bool) -> Self {
         Self {
             give_up: gives_up.then_some(Reason::PrimaryUnavailable),
             missed_primary: primary != Primary::Usable,
--- a/crates/dyketally-gateway/src/fleet/peer.rs
+++ b/crates/dyketally-gateway/src/fleet/peer.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dyketally::failover::Evidence;
-use dyketally::identifiers::{DatabaseName, GroupName, Locality};
+use dyketally::identifiers::{DatabaseName, GroupName};
 use dyketally::quota::Decision;
 use rand::seq::SliceRandom;
 use tokio::net::UdpSocket;
@@ -18,8 +18,6 @@
 use crate::fleet::message::PeerMessage;
 use crate::gateway::Gateway;
 
-/// How long other nodes may take to tell whether they reach a database.
-const RELAY_SEARCH: Duration = Duration::from_millis(450);
 /// For longer than this no node counts a sign of life that this one gave it.
 const SIGN_OF_LIFE_HOLDS: Duration = Duration::from_millis(1_200);
 /// How long a node may take to reply that it is reached, and how often it is asked: regions lie 20 ms
@@ -131,11 +129,11 @@
                 group,
                 database,
             } => {
-                self.gateway.fleet.membership.check_store.notify_one();
+                self.gateway.cx.store_health.check.notify_one();
                 let peers = self.clone();
                 tokio::task::spawn_local(async move {
                     let evidence = peers.gateway.evidence(&group, &database).await;
-                    let store_lost = peers.gateway.fleet.membership.store_lost();
+                    let store_lost = peers.gateway.cx.store_health.is_lost();
                     if let Some(evidence) = evidence {
                         let vote = PeerMessage::Vote {
                             poll,
@@ -165,7 +163,7 @@
                 suspected_ms,
             } => {
                 let suspected = Duration::from_millis(suspected_ms.into());
-                let contested = !self.gateway.fence(&database, id, suspected);
+                let contested = !self.gateway.databases.fence(&database, id, suspected);
                 let reply = PeerMessage::FenceReply {
                     round,
                     contested,
@@ -185,15 +183,19 @@
                 };
                 pass_on(&self.fence_rounds, round, reply);
             }
-            PeerMessage::LiftFence { database, id } => self.gateway.lift_round(&database, id),
+            PeerMessage::LiftFence { database, id } => {
+                self.gateway.databases.lift_round(&database, id)
+            }
             PeerMessage::AreYouThere { round } => {
                 self.asked_by.borrow_mut().insert(from, Instant::now());
                 let gateway = &self.gateway;
-                let fenced = gateway.databases.fences.borrow().standing(gateway.cx.now());
+                let fenced = gateway.databases.standing_fences();
                 self.send(from, &PeerMessage::Here { round, fenced });
             }
             PeerMessage::Here { round, fenced } => {
-                self.gateway.heard_of_fences(fenced, "a sign of life");
+                self.gateway
+                    .databases
+                    .heard_of_fences(fenced, "a sign of life");
                 pass_on(&self.life_rounds, round, from);
             }
             PeerMessage::ContactAsked { round } => {
@@ -207,6 +209,7 @@
                 fenced,
             } => {
                 self.gateway
+                    .databases
                     .heard_of_fences(fenced, "a reply about contact");
                 self.gateway
                     .take_short_contact(round, granted_ms, majority_ms);
@@ -219,10 +222,10 @@
                 }
             }
             PeerMessage::RelaysAsked { zone } => {
-                let relays = self.gateway.relays_for(&zone);
+                let relays = self.gateway.feed.relays_for(&zone);
                 self.send(from, &PeerMessage::Relays { relays });
             }
-            PeerMessage::Relays { relays } => self.gateway.fleet.membership.heard_of_relays(relays),
+            PeerMessage::Relays { relays } => self.gateway.fleet.membership.relays_named(relays),
             PeerMessage::PermitAsked {
                 round,
                 tenant,
@@ -242,13 +245,13 @@
             PeerMessage::ReachReply { round } => pass_on(&self.reach_rounds, round, ()),
             PeerMessage::Ends { node } => self.gateway.fleet.membership.ended(&node),
             PeerMessage::HasDuty { record } => {
-                self.gateway.fleet.membership.heard_of_holder(record)
+                self.gateway.fleet.coordinator.receive_announcement(record)
             }
             PeerMessage::Leads { database, .. } => {
                 let mut directory = self.gateway.databases.directory.borrow_mut();
                 directory.acted_as_primary(&database);
                 drop(directory);
-                self.gateway.lift_fence(&database);
+                self.gateway.databases.lift_fence(&database);
             }
         }
     }
@@ -305,12 +308,12 @@
 
     fn polled(&self, database: &DatabaseName) -> Vec<SocketAddr> {
         let own = &self.gateway.cx.settings.node.name;
-        let mut polled = self.gateway.homes_of(database);
+        let mut polled = self.gateway.fleet.homes_of(database);
         let mut others = self.gateway.fleet.membership.electorate(own);
         others.retain(|address| !polled.contains(address));
         others.shuffle(&mut rand::rng());
         // The database's own zone or region may be lost with it, and couldn't tell.
-        if let Some(locality) = self.gateway.locality_of(database) {
+        if let Some(locality) = self.gateway.databases.locality_of(database) {
             let near = self.gateway.fleet.membership.near(&locality);
             others.sort_by_key(|address| near.contains(address));
         }
@@ -388,12 +391,12 @@
 impl Gateway {
     /// Takes in that some node suspects a primary.
     pub fn suspected(&self, group: GroupName, database: DatabaseName) {
-        let mut suspicions = self.fleet.membership.suspicions.borrow_mut();
+        let mut suspicions = self.fleet.coordinator.suspicions.borrow_mut();
         suspicions
             .entry((group, database))
             .or_insert_with(Instant::now);
         drop(suspicions);
-        self.fleet.membership.attention.notify_one();
+        self.fleet.coordinator.attention.notify_one();
     }
 
     /// What this node sees of a database; `None` when it doesn't know it.
@@ -402,52 +405,17 @@
         group: &GroupName,
         database: &DatabaseName,
     ) -> Option<Evidence> {
-        let target = self.known_target(database)?;
+        let target = self.databases.known_target(database)?;
         match &target.group == group {
             true => Some(self.evidence_of(&target).await),
             false => None,
         }
     }
 
-    /// Where a database runs, if it is known.
-    fn locality_of(&self, database: &DatabaseName) -> Option<Locality> {
-        let directory = self.databases.directory.borrow();
-        let zone = &directory.member(database)?.announcement.zone;
-        Some(self.cx.settings.locality(zone))
-    }
-
-    /// A database as a target.
-    pub fn known_target(&self, database: &DatabaseName) -> Option<Target> {
-        let directory = self.databases.directory.borrow();
-        Some(self.target(directory.member(database)?, true))
-    }
-
-    /// Asks the other nodes who reaches `target`, and has the first that does relay to it.
-    pub fn find_relay(self: &Rc<Self>, target: &Target) {
-        let Some(peers) = self.fleet.peers.borrow().clone() else {
-            return;
-        };
-        let target = target.clone();
-        tokio::task::spawn_local(async move {
-            let mut poll = peers.poll(&target.group, &target.name);
-            let until = Instant::now() + RELAY_SEARCH;
-            while let Ok(Some(vote)) =
-                tokio::time::timeout_at(until, poll.votes.receiver.recv()).await
-            {
-                let may_relay = peers.gateway.may_relay(vote.from, &target);
-                if vote.evidence == Evidence::Answered && may_relay {
-                    target.state.pool.relay_by(vote.from);
-                    peers.gateway.cx.changes.notify();
-                    return;
-                }
-            }
-        });
-    }
-
     /// Tells the node that replaces primaries, or all nodes if it isn't known, that `target` doesn't
     /// answer.
     pub fn report_suspicion(&self, target: &Target) {
-        if self.fleet.membership.last_duty().is_some() {
+        if self.fleet.coordinator.last_term().is_some() {
             self.suspected(target.group.clone(), target.name.clone());
             return;
         }
@@ -459,7 +427,7 @@
         let Some(peers) = peers.as_ref() else {
             return;
         };
-        match self.fleet.membership.holder() {
+        match self.fleet.coordinator.address() {
             Some(holder) => peers.send(holder, &message),
             // This node may not have heard yet who has the duty.
             None => peers.broadcast(&message),
--- a/crates/dyketally-gateway/src/statement/choose.rs
+++ b/crates/dyketally-gateway/src/statement/choose.rs
@@ -93,7 +93,10 @@
             }
         };
         let target = match (proof, best) {
-            (Proof::Leads, _) => self.primary_target(group, &request.regions).ok()?,
+            (Proof::Leads, _) => self
+                .databases
+                .primary_target(group, &request.regions)
+                .ok()?,
             (Proof::Holds(_), Some(best)) => best,
             (Proof::Holds(position), None) => self.first_untried(request, Some(position), tried)?,
         };
@@ -149,9 +152,11 @@
         let intent = Intent::first(&request.regions, false);
         let eligible = directory
             .members(group)
-            .filter(|member| self.judge(member, &intent).is_ok());
+            .filter(|member| self.databases.judge(member, &intent).is_ok());
         let candidates = eligible.map(|member| {
-            let target = self.target(member, primary == Some(member.name()));
+            let target = self
+                .databases
+                .target(member, primary == Some(member.name()));
             (self.candidate(member, &target, needed), target)
         });
         let usual_lag = self.databases.replica_lag.get().value(self.cx.now());
@@ -168,13 +173,12 @@
         target: &Target,
         needed: Option<LogPosition>,
     ) -> Candidate {
-        let distance = self.distance(member);
-        let idle_ms = choose::expected_latency_ms(distance);
+        let idle_ms = self.databases.expected_latency_ms(member);
         let state = &target.state;
         Candidate {
             leads: target.leads,
             latency_ms: state.latency_estimate(idle_ms, member.announcement.slots),
-            distance,
+            distance: self.databases.distance(member),
             was_behind: needed.is_some_and(|needed| state.is_behind(needed)),
             is_cold: !self.draws(target),
             is_suspended: state.is_suspended(),
@@ -184,7 +188,7 @@
     /// Whether a read may go to `target` before warm databases: not while it is cold, and then more and
     /// more often.
     fn draws(&self, target: &Target) -> bool {
-        let share = self.databases.loading(&target.name).share();
+        let share = self.databases.pacer(&target.name).share();
         share >= 1.0 || rand::random_bool(share)
     }
 }
--- a/crates/dyketally-gateway/src/statement/ending.rs
+++ b/crates/dyketally-gateway/src/statement/ending.rs
@@ -1,17 +1,18 @@
 //! How statements end: what the rules on giving up ask for, and what is done as they say.
 
 use std::rc::Rc;
+use std::time::Duration;
 
-use dyketally::eligibility::{Denial, Intent, ServingRegions};
+use dyketally::eligibility::{Denial, Intent};
 use dyketally::freshness::FreshnessNeed;
-use dyketally::identifiers::{DatabaseName, GroupName};
+use dyketally::identifiers::DatabaseName;
 use dyketally::statement::FailureKind;
 
 use crate::database::connection::Broken;
 use crate::database::target::Target;
-use crate::decision::give_up::{Circumstances, Primary, Verdict};
+use crate::decision::give_up::{self, Circumstances, Primary};
 use crate::decision::learn::Lesson;
-use crate::decision::{Reason, refuse};
+use crate::decision::{Operation, Reason, refuse};
 use crate::gateway::Gateway;
 use crate::statement::request::{Request, Served};
 
@@ -41,69 +42,82 @@
     }
 }
 
-/// What is known as an attempt has ended.
-pub(super) struct Facts {
-    /// For the rule.
-    pub(super) circumstances: Circumstances,
-    /// Why no database may serve the statement before the configuration changes.
-    pub(super) denial: Option<Denial>,
+/// What is known as an attempt of a statement has ended, looked up as the rule asks for it.
+pub(super) struct Known<'a> {
+    pub(super) gateway: &'a Gateway,
+    pub(super) request: &'a Request,
+    /// What the statement has to see; `None` when it needs the primary.
+    pub(super) need: Option<FreshnessNeed>,
+    /// Databases that were tried.
+    pub(super) tried: &'a [DatabaseName],
+    /// Attempts that still run.
+    pub(super) running: usize,
 }
 
-impl Gateway {
-    /// What is known as an attempt of `request` has ended, which has to see what `need` tells, or needs
-    /// the primary, while others are `running`.
-    pub(super) fn facts(
-        &self,
-        request: &Request,
-        need: Option<FreshnessNeed>,
-        tried: &[DatabaseName],
-        running: usize,
-    ) -> Facts {
-        let group = &request.route.group;
-        let intent = Intent::first(&request.regions, need.is_none());
-        let denial = self.denied_for_good(group, &intent);
-        let circumstances = Circumstances {
-            elapsed: self.cx.now().saturating_since(request.arrived),
-            objective: request.route.latency_objective,
-            primary: self.primary_as_known(group),
-            something_may_serve: denial.is_none(),
-            running,
-            has_untried: self.has_alternative(request, need, tried),
-        };
-        Facts {
-            circumstances,
-            denial,
-        }
-    }
-
-    fn primary_as_known(&self, group: &GroupName) -> Primary {
-        let primary = self.primary_target(group, &ServingRegions::anywhere());
-        if primary.is_ok_and(|primary| !primary.state.is_suspended()) {
-            return Primary::Usable;
-        }
-        Primary::Missing {
-            since_first: self.databases.group(group).unled.missing_for(),
-        }
+impl Known<'_> {
+    /// Why no database may serve the statement before the configuration changes.
+    fn denial(&self) -> Option<Denial> {
+        let Self {
+            gateway, request, ..
+        } = self;
+        let intent = Intent::first(&request.regions, self.need.is_none());
+        gateway
+            .databases
+            .denied_for_good(&request.route.group, &intent)
     }
 
-    /// Does what goes with a verdict, and returns why the statement is given up, if it is.
-    pub(super) fn conclude(
-        &self,
-        request: &Request,
-        verdict: Verdict,
-        denial: Option<Denial>,
-    ) -> Option<Reason> {
+    /// Why the statement is given up after an attempt, if it is; with what goes with that.
+    pub(super) fn judge(&self, operation: Operation, attempt: give_up::Attempt) -> Option<Reason> {
+        let Self {
+            gateway, request, ..
+        } = self;
+        let verdict = give_up::after_attempt(operation, attempt, self);
         if verdict.missed_primary {
-            self.databases.group(&request.route.group).unled.missed();
+            let group = gateway.databases.group(&request.route.group);
+            group.availability.attempt_failed();
         }
         if verdict.give_up == Some(Reason::NothingMayServe)
-            && let Some(denial) = denial
+            && let Some(denial) = self.denial()
         {
-            self.report_unserved(request, denial);
+            gateway.report_unserved(request, denial);
         }
         verdict.give_up
     }
+}
+
+impl Circumstances for Known<'_> {
+    fn elapsed(&self) -> Duration {
+        let now = self.gateway.cx.now();
+        now.saturating_since(self.request.arrived)
+    }
 
+    fn objective(&self) -> Duration {
+        self.request.route.latency_objective
+    }
+
+    fn primary(&self) -> Primary {
+        let group = &self.request.route.group;
+        match self.gateway.databases.primary_missing_for(group) {
+            None => Primary::Usable,
+            Some(since_first) => Primary::Missing { since_first },
+        }
+    }
+
+    fn something_may_serve(&self) -> bool {
+        self.denial().is_none()
+    }
+
+    fn running(&self) -> usize {
+        self.running
+    }
+
+    fn has_untried(&self) -> bool {
+        self.gateway
+            .has_alternative(self.request, self.need, self.tried)
+    }
+}
+
+impl Gateway {
     /// Applies what a refusal or an answer told of `target`.
     pub(super) fn learn(self: &Rc<Self>, target: &Target, lesson: Option<Lesson>) {
         match lesson {
--- a/crates/dyketally-gateway/src/statement/read.rs
+++ b/crates/dyketally-gateway/src/statement/read.rs
@@ -27,7 +27,7 @@
 use crate::statement::attempt::Attempt;
 use crate::statement::choose::Choice;
 use crate::statement::dispatch::Dispatch;
-use crate::statement::ending::Decided;
+use crate::statement::ending::{Decided, Known};
 use crate::statement::request::{Request, Served, Stage};
 
 /// Attempts of one read that wait for a connection or an answer.
@@ -97,9 +97,14 @@
         tried: &[DatabaseName],
         running: &Running,
     ) -> Option<Reason> {
-        let facts = self.facts(request, request.need(), tried, running.len());
-        let verdict = give_up::after_attempt(Operation::Read, attempt, &facts.circumstances);
-        self.conclude(request, verdict, facts.denial)
+        let known = Known {
+            gateway: self,
+            request,
+            need: request.need(),
+            tried,
+            running: running.len(),
+        };
+        known.judge(Operation::Read, attempt)
     }
 
     async fn start_read(
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -248,7 +248,7 @@
         };
         // Leave is asked for behind all waits, since the zone may be evacuated meanwhile.
         checkout.wait_for_turn(batch).await;
-        let permission = gateway.may_send(target, &intent);
+        let permission = gateway.databases.may_send(target, &intent);
         let permission = permission.map_err(|denial| Unanswered::NotRun(failure_kind(denial)))?;
         let dispatch = self.dispatches.begin();
         match gateway.exchange(checkout, target, batch, permission).await {
--- a/crates/dyketally-gateway/src/statement/transaction/first.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/first.rs
@@ -24,6 +24,7 @@
 use crate::ports::OwnStatement;
 use crate::statement::attempt::Attempt;
 use crate::statement::choose::Choice;
+use crate::statement::ending::Known;
 use crate::statement::request::{Request, Stage};
 
 const OPERATION: Operation = Operation::FirstOfTransaction;
@@ -64,9 +65,14 @@
         attempt: give_up::Attempt,
         tried: &[DatabaseName],
     ) -> Option<Reason> {
-        let facts = gateway.facts(request, self.need(request), tried, 0);
-        let verdict = give_up::after_attempt(OPERATION, attempt, &facts.circumstances);
-        let hopeless = gateway.conclude(request, verdict, facts.denial);
+        let known = Known {
+            gateway,
+            request,
+            need: self.need(request),
+            tried,
+            running: 0,
+        };
+        let hopeless = known.judge(OPERATION, attempt);
         hopeless.or_else(|| {
             let time = Time {
                 now: Instant::now(),
--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -16,7 +16,7 @@
 use crate::decision::{Operation, Reason};
 use crate::gateway::Gateway;
 use crate::statement::attempt::Attempt;
-use crate::statement::ending::Decided;
+use crate::statement::ending::{Decided, Known};
 use crate::statement::request::{Request, Served, Stage};
 
 impl Gateway {
@@ -53,14 +53,14 @@
         let until = self
             .databases
             .group(group)
-            .unled
+            .availability
             .wait_until(request.give_up());
         let primary = self.primary_by(group, &request.regions, until).await;
         primary.map_err(|denial| {
             let reason = give_up::without_primary(denial.is_lasting());
             match reason {
                 Reason::NothingMayServe => self.report_unserved(request, denial),
-                _ => self.databases.group(group).unled.missed(),
+                _ => self.databases.group(group).availability.attempt_failed(),
             }
             reason
         })
@@ -68,10 +68,14 @@
 
     /// Why a write is given up that was refused for `refusal`, if it is.
     fn ends_write(&self, request: &Request, refusal: FailureKind) -> Option<Reason> {
-        let facts = self.facts(request, None, &[], 0);
-        let attempt = give_up::Attempt::NotRun(refusal);
-        let verdict = give_up::after_attempt(Operation::Write, attempt, &facts.circumstances);
-        let hopeless = self.conclude(request, verdict, facts.denial);
+        let known = Known {
+            gateway: self,
+            request,
+            need: None,
+            tried: &[],
+            running: 0,
+        };
+        let hopeless = known.judge(Operation::Write, give_up::Attempt::NotRun(refusal));
         hopeless.or_else(|| {
             let time = Time {
                 now: Instant::now(),
