--- a/crates/dyketally-gateway/tests/decision/give_up.rs
+++ b/crates/dyketally-gateway/tests/decision/give_up.rs
@@ -16,9 +16,46 @@
 const OBJECTIVE: Duration = Duration::from_millis(1_000);
 const LONG: Duration = Duration::from_millis(1_500);
 
+/// What is known, as a table.
+#[derive(Clone, Copy, Debug)]
+struct Known {
+    elapsed: Duration,
+    objective: Duration,
+    primary: Primary,
+    something_may_serve: bool,
+    running: usize,
+    has_untried: bool,
+}
+
+impl Circumstances for Known {
+    fn elapsed(&self) -> Duration {
+        self.elapsed
+    }
+
+    fn objective(&self) -> Duration {
+        self.objective
+    }
+
+    fn primary(&self) -> Primary {
+        self.primary
+    }
+
+    fn something_may_serve(&self) -> bool {
+        self.something_may_serve
+    }
+
+    fn running(&self) -> usize {
+        self.running
+    }
+
+    fn has_untried(&self) -> bool {
+        self.has_untried
+    }
+}
+
 /// Nothing speaks against going on: the primary is usable, and nothing else can be tried.
-fn fine() -> Circumstances {
-    Circumstances {
+fn fine() -> Known {
+    Known {
         elapsed: Duration::ZERO,
         objective: OBJECTIVE,
         primary: Primary::Usable,
@@ -28,44 +65,44 @@
     }
 }
 
-fn late() -> Circumstances {
-    Circumstances {
+fn late() -> Known {
+    Known {
         elapsed: Duration::from_millis(400),
         ..fine()
     }
 }
 
-fn almost_late() -> Circumstances {
-    Circumstances {
+fn almost_late() -> Known {
+    Known {
         elapsed: Duration::from_millis(399),
         ..fine()
     }
 }
 
 /// The group has had no usable primary for `since_first`.
-fn missing(since_first: Duration) -> Circumstances {
-    Circumstances {
+fn missing(since_first: Duration) -> Known {
+    Known {
         primary: Primary::Missing { since_first },
         ..fine()
     }
 }
 
-fn nothing_may_serve() -> Circumstances {
-    Circumstances {
+fn nothing_may_serve() -> Known {
+    Known {
         something_may_serve: false,
         ..fine()
     }
 }
 
-fn with_untried(circumstances: Circumstances) -> Circumstances {
-    Circumstances {
+fn with_untried(circumstances: Known) -> Known {
+    Known {
         has_untried: true,
         ..circumstances
     }
 }
 
-fn with_running(circumstances: Circumstances) -> Circumstances {
-    Circumstances {
+fn with_running(circumstances: Known) -> Known {
+    Known {
         running: 1,
         ..circumstances
     }
@@ -98,7 +135,7 @@
 fn an_attempt_that_was_not_run(
     #[values(Read, Write, FirstOfTransaction)] operation: Operation,
     #[case] refusal: FailureKind,
-    #[case] circumstances: Circumstances,
+    #[case] circumstances: Known,
     #[case] expected: Option<Reason>,
 ) {
     let verdict = after_attempt(operation, not_run(refusal), &circumstances);
@@ -114,7 +151,7 @@
 fn an_alternative_keeps_it_going(
     #[values(Read, FirstOfTransaction)] operation: Operation,
     #[case] refusal: FailureKind,
-    #[case] circumstances: Circumstances,
+    #[case] circumstances: Known,
 ) {
     let circumstances = with_untried(circumstances);
     let verdict = after_attempt(operation, not_run(refusal), &circumstances);
@@ -126,7 +163,7 @@
 #[case(FailureKind::Busy, missing(LONG))]
 fn a_read_goes_on_while_an_attempt_runs(
     #[case] refusal: FailureKind,
-    #[case] circumstances: Circumstances,
+    #[case] circumstances: Known,
 ) {
     let verdict = after_attempt(Read, not_run(refusal), &with_running(circumstances));
     assert_eq!(verdict.give_up, None);
@@ -152,10 +189,7 @@
 #[case::hopeless_first(nothing_may_serve(), Some(Reason::QueueTooLong))]
 #[case::then_nothing_may_serve(with_untried(nothing_may_serve()), Some(Reason::NothingMayServe))]
 #[case::then_the_primary(with_untried(missing(LONG)), None)]
-fn a_transaction_asks_in_order(
-    #[case] circumstances: Circumstances,
-    #[case] expected: Option<Reason>,
-) {
+fn a_transaction_asks_in_order(#[case] circumstances: Known, #[case] expected: Option<Reason>) {
     let attempt = not_run(FailureKind::QueueTooLong);
     let verdict = after_attempt(FirstOfTransaction, attempt, &circumstances);
     assert_eq!(verdict.give_up, expected);
@@ -178,7 +212,7 @@
 #[case::transaction_goes_on(FirstOfTransaction, late(), None)]
 fn a_lost_answer(
     #[case] operation: Operation,
-    #[case] circumstances: Circumstances,
+    #[case] circumstances: Known,
     #[case] expected: Option<Reason>,
 ) {
     let verdict = after_attempt(operation, Attempt::Lost, &circumstances);
@@ -191,10 +225,7 @@
 #[case::nothing_may_serve(nothing_may_serve(), Some(Reason::NothingMayServe))]
 #[case::no_primary_for_long(missing(LONG), Some(Reason::PrimaryUnavailable))]
 #[case::no_primary_for_a_while(missing(Duration::ZERO), None)]
-fn a_read_without_a_database(
-    #[case] circumstances: Circumstances,
-    #[case] expected: Option<Reason>,
-) {
+fn a_read_without_a_database(#[case] circumstances: Known, #[case] expected: Option<Reason>) {
     let verdict = after_attempt(Read, Attempt::NotStarted, &circumstances);
     assert_eq!(verdict.give_up, expected);
 }
@@ -243,7 +274,7 @@
 fn attempts_that_missed_the_primary(
     #[case] operation: Operation,
     #[case] attempt: Attempt,
-    #[case] circumstances: Circumstances,
+    #[case] circumstances: Known,
     #[case] expected: bool,
 ) {
     let verdict = after_attempt(operation, attempt, &circumstances);
