--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -1,28 +1,26 @@
 //! The parts of the process, and what concerns several of them.
 
-use std::cell::RefCell;
-use std::collections::{BTreeSet, HashMap};
+use std::collections::BTreeSet;
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
 
-use dyketally::identifiers::{GroupName, RegionName};
+use dyketally::identifiers::RegionName;
 use dyketally::route_policy::RouteSet;
 use dyketally_store::key_value::StoreRevision;
-use tokio::time::Instant;
 
 use crate::context::Context;
 use crate::counters::StoreCalls;
 use crate::database::connection::Connector;
-use crate::database::primary::PrimaryWatch;
-use crate::database::target::Target;
 use crate::database::{Databases, SharedDirectory};
 use crate::event::Event;
 use crate::fleet::Fleet;
+use crate::fleet::access::DatabaseAccess;
 use crate::fleet::forwarding::ThroughNodes;
 use crate::ports::{SharedCallerProtocol, SharedDatabaseProtocol};
 use crate::quota::Quotas;
 use crate::session::Sessions;
 use crate::settings::Settings;
+use crate::statement::Statements;
 use crate::store::feed::Feed;
 use crate::succession::Leadership;
 
@@ -30,22 +28,20 @@
 pub struct Gateway {
     /// What all parts share.
     pub cx: Rc<Context>,
-    /// The protocol of callers.
-    pub caller_protocol: SharedCallerProtocol,
     /// The databases.
     pub databases: Rc<Databases>,
     /// The other nodes.
     pub fleet: Rc<Fleet>,
+    /// Access to databases.
+    pub access: Rc<DatabaseAccess>,
     /// Copies of the store's keys, as they are passed on between nodes.
     pub feed: Rc<Feed>,
-    /// Who leads which group, as far as this node found out itself.
-    pub leadership: Leadership,
+    /// Who leads which group, and whether that can be relied on.
+    pub leadership: Rc<Leadership>,
     /// Quotas of tenants.
     pub quotas: Rc<Quotas>,
-    /// Sessions that are open, and how many there may be.
-    pub sessions: Sessions,
-    /// When the log reported last that no database of a group may serve some statement.
-    pub unserved_logged: RefCell<HashMap<GroupName, Instant>>,
+    /// Callers' sessions.
+    pub sessions: Rc<Sessions>,
 }
 
 impl Gateway {
@@ -57,25 +53,27 @@
         store_calls: Arc<StoreCalls>,
     ) -> Rc<Self> {
         let cx = Context::new(settings, store_calls);
-        let sessions = Sessions::new(cx.settings.node.capacity());
         let directory = SharedDirectory::default();
         let fleet = Fleet::new(cx.clone(), directory.clone());
         let quotas = Quotas::new(cx.clone(), fleet.clone());
         let connector = Connector::new(database_protocol, Rc::new(ThroughNodes));
         let databases = Databases::new(cx.clone(), directory, connector, fleet.clone());
         let feed = Feed::new(fleet.clone(), databases.clone());
+        let access = DatabaseAccess::new(fleet.clone(), databases.clone());
+        let leadership = Leadership::new(&access, &feed);
+        let statements = Statements::new(cx.clone(), access.clone(), leadership.clone());
+        let sessions = Sessions::new(cx.clone(), caller_protocol, statements, quotas.clone());
         let gateway = Rc::new(Self {
             databases,
             fleet,
+            access,
             feed,
             cx,
-            caller_protocol,
-            leadership: Leadership::default(),
+            leadership,
             quotas,
             sessions,
-            unserved_logged: RefCell::default(),
         });
-        let watch: Weak<Self> = Rc::downgrade(&gateway);
+        let watch: Weak<Leadership> = Rc::downgrade(&gateway.leadership);
         gateway.databases.watched_by(watch);
         gateway
     }
@@ -150,17 +148,3 @@
         }
     }
 }
-
-impl PrimaryWatch for Gateway {
-    fn primary_is_unconfirmed(&self, group: &GroupName) -> bool {
-        self.is_unclear(group)
-    }
-
-    fn suspect(self: Rc<Self>, target: &Target) {
-        self.suspect_primary(target);
-    }
-
-    fn look_at_primaries(&self) {
-        self.fleet.coordinator.attention.notify_one();
-    }
-}
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -16,12 +16,13 @@
 
 use dyketally_store::KeyValueStore;
 use eyre::WrapErr;
+use futures::FutureExt;
 use tokio::net::UdpSocket;
 use tokio::signal::unix::{SignalKind, signal};
 
 use self::listen::bind;
 use crate::event::Event;
-use crate::fleet::forwarding;
+use crate::fleet::forwarding::{self, ServeFeed};
 use crate::fleet::membership::NodeRecord;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
@@ -30,20 +31,18 @@
     PrimaryControl, ReadinessProtocol, SharedCallerProtocol, SharedDatabaseProtocol,
     StoredDocuments,
 };
-use crate::session;
 use crate::settings::Settings;
-use crate::store::feed::ask_seeds;
+use crate::store::feed::{self, ask_seeds};
 use crate::store::keys::Keys;
 use crate::store::liveness::Liveness;
 use crate::store::metered_store::StoreCalls;
 use crate::store::parts::StoreParts;
 use crate::store::registration::Registration;
 use crate::store::unconfirmed::log_unconfirmed;
+use crate::succession::contact::ContactKeeper;
 use crate::succession::coordinator::CoordinatorKeeper;
 use crate::succession::failover::Failover;
 use crate::succession::fence::FenceKeeper;
-use crate::succession::lead::keep_in_touch;
-use crate::succession::short_contact::keep_short_contact;
 
 /// Pause between two rounds of tidying up.
 const TIDY_INTERVAL: Duration = Duration::from_secs(5);
@@ -78,7 +77,7 @@
     let socket = UdpSocket::bind(settings.listen.peers)
         .await
         .wrap_err("can't listen on `listen.peers`; choose a free address of this machine")?;
-    let relayed = bind(settings.listen.peers, "listen.peers").await?;
+    let forwarded = bind(settings.listen.peers, "listen.peers").await?;
     let metrics = match settings.listen.metrics {
         Some(address) => Some(bind(address, "listen.metrics").await?),
         None => None,
@@ -104,11 +103,13 @@
         keys,
     };
     let registration = Registration::new(parts.clone());
-    let fences = FenceKeeper::new(gateway.clone(), parts.clone(), peers.clone());
+    let fences = FenceKeeper::new(parts.clone(), gateway.databases.clone(), peers.clone());
     let liveness = Liveness::new(parts.clone(), peers.clone());
     let coordinator = CoordinatorKeeper::new(parts.clone(), peers.clone());
     let failover = Failover::new(
-        gateway.clone(),
+        gateway.databases.clone(),
+        gateway.fleet.clone(),
+        gateway.leadership.clone(),
         coordinator.clone(),
         peers.clone(),
         adapters.control,
@@ -122,10 +123,18 @@
     if let Some(listener) = metrics {
         tokio::task::spawn_local(metrics::serve(gateway.clone(), listener));
     }
-    tokio::task::spawn_local(forwarding::serve(gateway.clone(), relayed));
+    let feed = gateway.feed.clone();
+    let serve_feed: ServeFeed =
+        Rc::new(move |stream| feed::serve(feed.clone(), stream).boxed_local());
+    tokio::task::spawn_local(forwarding::serve(
+        gateway.access.clone(),
+        serve_feed,
+        forwarded,
+    ));
     tokio::task::spawn_local(peers.clone().run());
-    tokio::task::spawn_local(keep_in_touch(gateway.clone(), peers.clone()));
-    tokio::task::spawn_local(keep_short_contact(gateway.clone(), peers.clone()));
+    let contact = ContactKeeper::new(gateway.fleet.clone(), gateway.feed.clone(), peers.clone());
+    tokio::task::spawn_local(contact.run());
+    tokio::task::spawn_local(gateway.leadership.grants.clone().run(peers.clone()));
     tokio::task::spawn_local(ask_seeds(gateway.feed.clone(), peers.clone()));
     tokio::task::spawn_local(failover.run());
     tokio::task::spawn_local(liveness.run());
@@ -134,7 +143,7 @@
     tokio::task::spawn_local(tidy(gateway.clone()));
     tokio::task::spawn_local(log_unconfirmed(gateway.cx.clone(), gateway.feed.clone()));
     updates::watch_store(&gateway, &parts, &adapters.documents);
-    let accepting = tokio::task::spawn_local(session::serve_callers(gateway.clone(), callers));
+    let accepting = tokio::task::spawn_local(gateway.sessions.clone().serve_callers(callers));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
--- a/crates/dyketally-gateway/src/statement/attempt.rs
+++ b/crates/dyketally-gateway/src/statement/attempt.rs
@@ -9,8 +9,9 @@
 use crate::database::target::Target;
 use crate::decision::choose::Proof;
 use crate::decision::{Operation, learn};
-use crate::gateway::Gateway;
-use crate::statement::checkout::{Checkout, Unanswered};
+use crate::fleet::access::ExchangeError;
+use crate::fleet::connection::DatabaseConnection;
+use crate::statement::Statements;
 use crate::statement::request::Request;
 
 /// What became of one attempt.
@@ -30,21 +31,21 @@
     }
 }
 
-impl Gateway {
+impl Statements {
     /// What an attempt comes to whose batch has no answers.
     pub(super) fn without_answer(
         self: &Rc<Self>,
         operation: Operation,
         (target, proof): (&Target, Proof),
-        unanswered: Unanswered,
+        unanswered: ExchangeError,
     ) -> Attempt {
         match unanswered {
-            Unanswered::NotRun(kind) => {
+            ExchangeError::NotRun(kind) => {
                 let lesson = learn::from_refusal_without_answer(operation, proof, kind);
                 self.learn(target, lesson);
                 Attempt::NotRun(kind)
             }
-            Unanswered::Lost(broken) => Attempt::Lost(broken),
+            ExchangeError::Lost(broken) => Attempt::Lost(broken),
         }
     }
 
@@ -54,8 +55,10 @@
         request: &Request,
         target: &Target,
         work: Work,
-    ) -> Result<Checkout, FailureKind> {
-        let checkout = self.checkout_for(target, &request.values, request.claim(work));
+    ) -> Result<DatabaseConnection, FailureKind> {
+        let checkout = self
+            .access
+            .connect(target, &request.values, request.claim(work));
         checkout.await
     }
 }
--- a/crates/dyketally-gateway/src/statement/choose.rs
+++ b/crates/dyketally-gateway/src/statement/choose.rs
@@ -16,7 +16,7 @@
 use crate::decision::Operation;
 use crate::decision::choose::{self, Candidate, Pick, Preferences, Proof, Way};
 use crate::decision::retry::RETRY_PAUSE;
-use crate::gateway::Gateway;
+use crate::statement::Statements;
 use crate::statement::request::Request;
 
 /// A database for a statement.
@@ -36,7 +36,7 @@
     }
 }
 
-impl Gateway {
+impl Statements {
     /// A database for a read, or for the first statement of a transaction, that has to see what `need`
     /// tells, or needs the primary. Each that was chosen is `tried`; once all were, they go round again.
     pub(super) async fn choose(
@@ -63,7 +63,10 @@
             self.cx.counters.reads_bound_to_primaries.add();
         }
         let until = request.give_up().min(Instant::now() + RETRY_PAUSE);
-        let primary = self.primary_by(&request.route.group, &request.regions, until);
+        let primary =
+            self.leadership
+                .confirmations
+                .primary_by(&request.route.group, &request.regions, until);
         primary.await.ok().map(Choice::leads)
     }
 
@@ -84,7 +87,11 @@
         let proof = match choose::way(operation, known, best_leads) {
             Way::Prove(proof) => proof,
             Way::AskForPosition => {
-                let asked = self.ensure_observation(group, need.covered, request.give_up());
+                let asked = self.leadership.confirmations.ensure_observation(
+                    group,
+                    need.covered,
+                    request.give_up(),
+                );
                 let known = match asked.await {
                     Some(_) => self.known_position(request, &need),
                     None => None,
@@ -135,12 +142,16 @@
     ) -> Option<Target> {
         let ranked = self.ranked(request, needed);
         let was_tried = |(_, target): &(Candidate, Target)| tried.contains(&target.name);
-        match choose::next(ranked, was_tried)? {
-            Pick::Untried((_, target)) => Some(target),
-            Pick::Again((_, target)) => {
+        match choose::next(ranked, was_tried) {
+            Some(Pick::Untried((_, target))) => Some(target),
+            Some(Pick::Again((_, target))) => {
                 tried.clear();
                 Some(target)
             }
+            None => {
+                tried.clear();
+                None
+            }
         }
     }
 
--- a/crates/dyketally-gateway/src/statement/ending.rs
+++ b/crates/dyketally-gateway/src/statement/ending.rs
@@ -13,7 +13,7 @@
 use crate::decision::give_up::{self, Circumstances, Primary};
 use crate::decision::learn::Lesson;
 use crate::decision::{Operation, Reason, refuse};
-use crate::gateway::Gateway;
+use crate::statement::Statements;
 use crate::statement::request::{Request, Served};
 
 /// What a caller is told of a statement, and why.
@@ -44,7 +44,7 @@
 
 /// What is known as an attempt of a statement has ended, looked up as the rule asks for it.
 pub(super) struct Known<'a> {
-    pub(super) gateway: &'a Gateway,
+    pub(super) statements: &'a Statements,
     pub(super) request: &'a Request,
     /// What the statement has to see; `None` when it needs the primary.
     pub(super) need: Option<FreshnessNeed>,
@@ -58,10 +58,12 @@
     /// Why no database may serve the statement before the configuration changes.
     fn denial(&self) -> Option<Denial> {
         let Self {
-            gateway, request, ..
+            statements,
+            request,
+            ..
         } = self;
         let intent = Intent::first(&request.regions, self.need.is_none());
-        gateway
+        statements
             .databases
             .denied_for_good(&request.route.group, &intent)
     }
@@ -69,17 +71,19 @@
     /// Why the statement is given up after an attempt, if it is; with what goes with that.
     pub(super) fn judge(&self, operation: Operation, attempt: give_up::Attempt) -> Option<Reason> {
         let Self {
-            gateway, request, ..
+            statements,
+            request,
+            ..
         } = self;
         let verdict = give_up::after_attempt(operation, attempt, self);
         if verdict.missed_primary {
-            let group = gateway.databases.group(&request.route.group);
+            let group = statements.databases.group(&request.route.group);
             group.availability.attempt_failed();
         }
         if verdict.give_up == Some(Reason::NothingMayServe)
             && let Some(denial) = self.denial()
         {
-            gateway.report_unserved(request, denial);
+            statements.report_unserved(request, denial);
         }
         verdict.give_up
     }
@@ -87,7 +91,7 @@
 
 impl Circumstances for Known<'_> {
     fn elapsed(&self) -> Duration {
-        let now = self.gateway.cx.now();
+        let now = self.statements.cx.now();
         now.saturating_since(self.request.arrived)
     }
 
@@ -97,7 +101,7 @@
 
     fn primary(&self) -> Primary {
         let group = &self.request.route.group;
-        match self.gateway.databases.primary_missing_for(group) {
+        match self.statements.databases.primary_missing_for(group) {
             None => Primary::Usable,
             Some(since_first) => Primary::Missing { since_first },
         }
@@ -112,17 +116,17 @@
     }
 
     fn has_untried(&self) -> bool {
-        self.gateway
+        self.statements
             .has_alternative(self.request, self.need, self.tried)
     }
 }
 
-impl Gateway {
+impl Statements {
     /// Applies what a refusal or an answer told of `target`.
     pub(super) fn learn(self: &Rc<Self>, target: &Target, lesson: Option<Lesson>) {
         match lesson {
             None => {}
-            Some(Lesson::Follows) => self.follows(target),
+            Some(Lesson::Follows) => self.leadership.confirmations.refused_as_primary(target),
             Some(Lesson::Behind {
                 needed,
                 counts_for_lag,
--- a/crates/dyketally-gateway/src/statement/read.rs
+++ b/crates/dyketally-gateway/src/statement/read.rs
@@ -22,8 +22,8 @@
 use crate::decision::learn::{self, BehindBegin};
 use crate::decision::retry::{self, Attempts};
 use crate::decision::{Operation, Reason};
-use crate::gateway::Gateway;
 use crate::ports::OwnStatement;
+use crate::statement::Statements;
 use crate::statement::attempt::Attempt;
 use crate::statement::choose::Choice;
 use crate::statement::dispatch::Dispatch;
@@ -33,7 +33,7 @@
 /// Attempts of one read that wait for a connection or an answer.
 type Running = FuturesUnordered<JoinHandle<Attempt>>;
 
-impl Gateway {
+impl Statements {
     /// Serves a single read.
     pub async fn serve_read(self: &Rc<Self>, request: &Rc<Request>) -> Decided {
         let mut running = Running::new();
@@ -98,7 +98,7 @@
         running: &Running,
     ) -> Option<Reason> {
         let known = Known {
-            gateway: self,
+            statements: self,
             request,
             need: request.need(),
             tried,
@@ -115,10 +115,10 @@
         let choosing = self.choose(request, Operation::Read, request.need(), tried);
         let choice = choosing.await?;
         request.attempt(self);
-        let gateway = self.clone();
+        let statements = self.clone();
         let request = request.clone();
         Some(tokio::task::spawn_local(async move {
-            let attempt = gateway.read_once(&request, &choice);
+            let attempt = statements.read_once(&request, &choice);
             let last = request.deadline + LATE_ANSWER_LIMIT;
             match tokio::time::timeout_at(last, attempt).await {
                 Ok(attempt) => attempt,
@@ -210,7 +210,7 @@
             BehindBegin::ProvesNothing => {
                 Attempt::Lost(Broken::new("the database doesn't lead its group"))
             }
-            BehindBegin::AnswerOfLeader if !self.is_upheld(target).await => {
+            BehindBegin::AnswerOfLeader if !self.leadership.checks.is_upheld(target).await => {
                 Attempt::Lost(Broken::replaced())
             }
             BehindBegin::AnswerOfLeader => {
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -1,4 +1,4 @@
-//! One statement of a session on its way through the gateway.
+//! One statement of a session on its way through the statements.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -23,10 +23,11 @@
 use crate::database::target::Target;
 use crate::decision::{Reason, admit, come_back, give_up};
 use crate::event::Event;
-use crate::gateway::Gateway;
+use crate::fleet::access::ExchangeError;
+use crate::fleet::connection::DatabaseConnection;
 use crate::measures::tenant_label;
 use crate::ports::DatabaseUser;
-use crate::statement::checkout::{Checkout, Unanswered};
+use crate::statement::Statements;
 use crate::statement::dispatch::{Dispatch, Dispatches, ProvenNotRun};
 
 /// Where a statement stands in its transaction.
@@ -98,7 +99,7 @@
         }
     }
 
-    /// A failure of the gateway's own.
+    /// A failure of the statements's own.
     pub fn failed(kind: FailureKind, message: &str) -> Self {
         Self {
             rows: Vec::new(),
@@ -236,44 +237,49 @@
     /// There are no answers; tells whether anything may have run.
     pub async fn exchange(
         &self,
-        gateway: &Rc<Gateway>,
-        checkout: &mut Checkout,
+        statements: &Rc<Statements>,
+        checkout: &mut DatabaseConnection,
         target: &Target,
         batch: &Batch,
         stage: Stage,
-    ) -> Result<(Vec<Answer>, Dispatch), Unanswered> {
+    ) -> Result<(Vec<Answer>, Dispatch), ExchangeError> {
         let intent = match stage {
             Stage::First => Intent::first(&self.regions, batch.needs_leader()),
             Stage::Further => Intent::further(batch.needs_leader()),
         };
         // Leave is asked for behind all waits, since the zone may be evacuated meanwhile.
         checkout.wait_for_turn(batch).await;
-        let permission = gateway.databases.may_send(target, &intent);
-        let permission = permission.map_err(|denial| Unanswered::NotRun(failure_kind(denial)))?;
+        let permission = statements.databases.may_send(target, &intent);
+        let permission =
+            permission.map_err(|denial| ExchangeError::NotRun(failure_kind(denial)))?;
         let dispatch = self.dispatches.begin();
-        match gateway.exchange(checkout, target, batch, permission).await {
+        match statements
+            .access
+            .exchange(checkout, target, batch, permission)
+            .await
+        {
             Ok(answers) => Ok((answers, dispatch)),
-            Err(Unanswered::NotRun(kind)) => {
+            Err(ExchangeError::NotRun(kind)) => {
                 dispatch.rejected();
-                Err(Unanswered::NotRun(kind))
+                Err(ExchangeError::NotRun(kind))
             }
-            Err(Unanswered::Lost(broken)) => Err(Unanswered::Lost(broken)),
+            Err(ExchangeError::Lost(broken)) => Err(ExchangeError::Lost(broken)),
         }
     }
 
     /// Counts an attempt at a database.
-    pub fn attempt(&self, gateway: &Gateway) {
+    pub fn attempt(&self, statements: &Statements) {
         if self.attempts.get() > 0 {
-            gateway.cx.counters.further_attempts.add();
+            statements.cx.counters.further_attempts.add();
         }
         self.attempts.set(self.attempts.get() + 1);
     }
 
     /// Measures what the caller is told, and logs it if it isn't an ordinary success.
-    pub fn log(&self, gateway: &Gateway, served: &Served, reason: Reason) {
-        let elapsed = gateway.cx.now().saturating_since(self.arrived);
+    pub fn log(&self, statements: &Statements, served: &Served, reason: Reason) {
+        let elapsed = statements.cx.now().saturating_since(self.arrived);
         let failed = served.end.as_ref().err().map(|failure| failure.kind);
-        gateway
+        statements
             .cx
             .measures
             .answered(&self.route.name, failed, elapsed);
@@ -282,7 +288,7 @@
             Ok(_) => "served".to_owned(),
             Err(failure) => format!("{:?}", failure.kind),
         };
-        gateway.cx.events.write(&Event::StatementDecided {
+        statements.cx.events.write(&Event::StatementDecided {
             id: &String::from_utf8_lossy(&self.id),
             group: self.route.group.as_str(),
             tenant: tenant_label(self.tenant.as_ref().map(|tenant| &tenant.name)),
--- a/crates/dyketally-gateway/src/statement/transaction/bound.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/bound.rs
@@ -12,13 +12,13 @@
 use crate::database::target::Target;
 use crate::decision::Reason;
 use crate::decision::retry::{self, RETRY_PAUSE};
-use crate::gateway::Gateway;
-use crate::statement::checkout::Checkout;
+use crate::fleet::connection::DatabaseConnection;
+use crate::statement::Statements;
 use crate::statement::request::{Request, Stage};
 
 /// The database of a transaction, and the connection on which it is open.
 pub(super) struct Bound {
-    pub(super) checkout: Checkout,
+    pub(super) checkout: DatabaseConnection,
     pub(super) target: Target,
     /// True when the transaction was opened as only a leader does.
     pub(super) leads: bool,
@@ -35,10 +35,10 @@
     /// Runs a statement at the transaction's database, or tells why that has no answer.
     pub(super) async fn run_bound(
         &mut self,
-        gateway: &Rc<Gateway>,
+        statements: &Rc<Statements>,
         request: &Request,
     ) -> Result<Answer, Reason> {
-        let reason = match self.send_until_run(gateway, request).await {
+        let reason = match self.send_until_run(statements, request).await {
             Ok(Some(answer)) => return Ok(answer),
             Ok(None) => Reason::ConnectionBroke,
             Err(_) => Reason::DatabaseSilent,
@@ -51,11 +51,11 @@
     /// [`retry::repeats_in_transaction`]. `None` when the connection broke.
     pub(super) async fn send_until_run(
         &mut self,
-        gateway: &Rc<Gateway>,
+        statements: &Rc<Statements>,
         request: &Request,
     ) -> Result<Option<Answer>, Elapsed> {
         loop {
-            let sending = self.send(gateway, request);
+            let sending = self.send(statements, request);
             let answer = tokio::time::timeout_at(request.deadline, sending).await?;
             let Some(answer) = answer else {
                 return Ok(None);
@@ -69,22 +69,25 @@
         }
     }
 
-    async fn send(&mut self, gateway: &Rc<Gateway>, request: &Request) -> Option<Answer> {
+    async fn send(&mut self, statements: &Rc<Statements>, request: &Request) -> Option<Answer> {
         let reset = self.reset_after_failure();
         let bound = self.bound.as_mut()?;
-        request.attempt(gateway);
+        request.attempt(statements);
         let mut batch = Batch::of(request.context(), vec![request.step(None)]);
         batch.reset = reset;
-        let sent = gateway.cx.now();
+        let sent = statements.cx.now();
         let (checkout, target) = (&mut bound.checkout, &bound.target);
-        let exchange = request.exchange(gateway, checkout, target, &batch, Stage::Further);
+        let exchange = request.exchange(statements, checkout, target, &batch, Stage::Further);
         let (mut answers, dispatch) = exchange.await.ok()?;
         let answer = answers.pop()?;
         if answer.was_rejected() {
             dispatch.rejected();
         }
-        if bound.leads && answer.end.is_ok() && gateway.surely_leads(&bound.target) {
-            gateway
+        if bound.leads
+            && answer.end.is_ok()
+            && statements.leadership.checks.surely_leads(&bound.target)
+        {
+            statements
                 .databases
                 .observe(&bound.target.group, answer.position, sent);
         }
--- a/crates/dyketally-gateway/src/statement/transaction/first.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/first.rs
@@ -20,8 +20,8 @@
 use crate::decision::give_up::{self, Time};
 use crate::decision::retry::RETRY_PAUSE;
 use crate::decision::{Operation, Reason, learn};
-use crate::gateway::Gateway;
 use crate::ports::OwnStatement;
+use crate::statement::Statements;
 use crate::statement::attempt::Attempt;
 use crate::statement::choose::Choice;
 use crate::statement::ending::Known;
@@ -34,12 +34,12 @@
     /// up.
     pub(super) async fn run_first(
         &mut self,
-        gateway: &Rc<Gateway>,
+        statements: &Rc<Statements>,
         request: &Request,
     ) -> Result<Answer, Reason> {
         let mut tried = Vec::new();
         loop {
-            let first = self.try_first(gateway, request, &mut tried);
+            let first = self.try_first(statements, request, &mut tried);
             let attempt = match tokio::time::timeout_at(request.deadline, first).await {
                 Ok(Attempt::Answered(answer)) => return Ok(answer),
                 Ok(Attempt::NotRun(kind)) => give_up::Attempt::NotRun(kind),
@@ -50,23 +50,27 @@
                 }
             };
             self.drop_bound();
-            if let Some(reason) = self.ends_first(gateway, request, attempt, &tried) {
+            if let Some(reason) = self.ends_first(statements, request, attempt, &tried) {
                 return Err(reason);
             }
-            gateway.cx.changes.next(Instant::now() + RETRY_PAUSE).await;
+            statements
+                .cx
+                .changes
+                .next(Instant::now() + RETRY_PAUSE)
+                .await;
         }
     }
 
     /// Why the transaction is given up after an attempt, if it is.
     fn ends_first(
         &self,
-        gateway: &Rc<Gateway>,
+        statements: &Rc<Statements>,
         request: &Request,
         attempt: give_up::Attempt,
         tried: &[DatabaseName],
     ) -> Option<Reason> {
         let known = Known {
-            gateway,
+            statements,
             request,
             need: self.need(request),
             tried,
@@ -84,27 +88,27 @@
 
     async fn try_first(
         &mut self,
-        gateway: &Rc<Gateway>,
+        statements: &Rc<Statements>,
         request: &Request,
         tried: &mut Vec<DatabaseName>,
     ) -> Attempt {
-        let choosing = gateway.choose(request, OPERATION, self.need(request), tried);
+        let choosing = statements.choose(request, OPERATION, self.need(request), tried);
         let Some(Choice { target, proof }) = choosing.await else {
             return Attempt::NotRun(FailureKind::Busy);
         };
-        let checkout = gateway.checkout(request, &target, Work::Transaction);
+        let checkout = statements.checkout(request, &target, Work::Transaction);
         let mut checkout = match checkout.await {
             Ok(checkout) => checkout,
             Err(kind) => return Attempt::NotRun(kind),
         };
-        request.attempt(gateway);
+        request.attempt(statements);
         let batch = self.opening(request, proof);
-        let sent = gateway.cx.now();
-        let exchange = request.exchange(gateway, &mut checkout, &target, &batch, Stage::First);
+        let sent = statements.cx.now();
+        let exchange = request.exchange(statements, &mut checkout, &target, &batch, Stage::First);
         let (answers, dispatch) = match exchange.await {
             Ok(answered) => answered,
             Err(unanswered) => {
-                return gateway.without_answer(OPERATION, (&target, proof), unanswered);
+                return statements.without_answer(OPERATION, (&target, proof), unanswered);
             }
         };
         let mut answers = answers.into_iter();
@@ -113,19 +117,19 @@
         };
         if let Err(failure) = &begun.end {
             dispatch.rejected();
-            learn_from_refusal(gateway, &target, proof, failure.kind);
+            learn_from_refusal(statements, &target, proof, failure.kind);
             if begun.state == TransactionState::Idle {
                 checkout.give_back();
             }
             return Attempt::NotRun(failure.kind);
         }
-        gateway.learn(&target, learn::from_answer(OPERATION, proof, target.leads));
+        statements.learn(&target, learn::from_answer(OPERATION, proof, target.leads));
         let leads = proof == Proof::Leads;
-        if leads && !gateway.is_upheld(&target).await {
+        if leads && !statements.leadership.checks.is_upheld(&target).await {
             return Attempt::NotRun(FailureKind::ReadOnly);
         }
         if leads {
-            gateway
+            statements
                 .databases
                 .observe(&target.group, begun.position, sent);
         }
@@ -137,15 +141,15 @@
         let Some(answer) = answers.next() else {
             return Attempt::without_all_answers();
         };
-        if leads && answer.end.is_ok() && gateway.surely_leads(&target) {
-            gateway
+        if leads && answer.end.is_ok() && statements.leadership.checks.surely_leads(&target) {
+            statements
                 .databases
                 .observe(&target.group, answer.position, sent);
         }
         match &answer.end {
             Err(failure) if failure.kind.not_run() => {
                 dispatch.rejected();
-                learn_from_refusal(gateway, &target, proof, failure.kind);
+                learn_from_refusal(statements, &target, proof, failure.kind);
                 Attempt::NotRun(failure.kind)
             }
             _ => Attempt::Answered(answer),
@@ -175,6 +179,11 @@
     }
 }
 
-fn learn_from_refusal(gateway: &Rc<Gateway>, target: &Target, proof: Proof, kind: FailureKind) {
-    gateway.learn(target, learn::from_refusal(OPERATION, proof, kind));
+fn learn_from_refusal(
+    statements: &Rc<Statements>,
+    target: &Target,
+    proof: Proof,
+    kind: FailureKind,
+) {
+    statements.learn(target, learn::from_refusal(OPERATION, proof, kind));
 }
--- a/crates/dyketally-gateway/src/statement/transaction/mod.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/mod.rs
@@ -19,8 +19,8 @@
 use crate::database::connection::Answer;
 use crate::decision::choose::Proof;
 use crate::decision::{Operation, Reason, learn};
-use crate::gateway::Gateway;
 use crate::quota::Permit;
+use crate::statement::Statements;
 use crate::statement::request::{Request, Served};
 
 /// A transaction of a session.
@@ -87,18 +87,18 @@
     /// Runs a read or write in the transaction.
     pub async fn run(
         &mut self,
-        gateway: &Rc<Gateway>,
+        statements: &Rc<Statements>,
         request: &Request,
         access: Access,
     ) -> TransactionAnswer {
         let served = match self.bound.is_some() {
-            true => self.run_bound(gateway, request).await,
-            false => self.run_first(gateway, request).await,
+            true => self.run_bound(statements, request).await,
+            false => self.run_first(statements, request).await,
         };
         self.wrote |= access == Access::Write;
         match served {
-            Ok(answer) => self.settle(gateway, request, answer),
-            Err(reason) => self.give_up(gateway, request, reason),
+            Ok(answer) => self.settle(statements, request, answer),
+            Err(reason) => self.give_up(statements, request, reason),
         }
     }
 
@@ -127,7 +127,7 @@
 
     fn settle(
         &mut self,
-        gateway: &Rc<Gateway>,
+        statements: &Rc<Statements>,
         request: &Request,
         answer: Answer,
     ) -> TransactionAnswer {
@@ -137,39 +137,39 @@
             }
             (Err(failure), _) if failure.kind.not_run() => {
                 let kind = failure.kind;
-                self.learn_from_refusal(gateway, kind);
-                self.give_up(gateway, request, Reason::RefusedInTransaction(kind))
+                self.learn_from_refusal(statements, kind);
+                self.give_up(statements, request, Reason::RefusedInTransaction(kind))
             }
             (Err(_), _) => {
                 self.failed = true;
                 self.drop_bound();
                 TransactionAnswer::answered(answer, TransactionState::Failed)
             }
-            (Ok(_), _) => self.give_up(gateway, request, Reason::TransactionEnded),
+            (Ok(_), _) => self.give_up(statements, request, Reason::TransactionEnded),
         }
     }
 
     /// Applies what a refusal within the transaction tells of its database.
-    fn learn_from_refusal(&self, gateway: &Rc<Gateway>, kind: FailureKind) {
+    fn learn_from_refusal(&self, statements: &Rc<Statements>, kind: FailureKind) {
         if let Some(bound) = &self.bound
             && bound.leads
         {
             let operation = Operation::FirstOfTransaction;
             let lesson = learn::from_refusal(operation, Proof::Leads, kind);
-            gateway.learn(&bound.target, lesson);
+            statements.learn(&bound.target, lesson);
         }
     }
 
     fn give_up(
         &mut self,
-        gateway: &Rc<Gateway>,
+        statements: &Rc<Statements>,
         request: &Request,
         reason: Reason,
     ) -> TransactionAnswer {
         self.failed = true;
         self.drop_bound();
         let served = Served::rolled_back();
-        request.log(gateway, &served, reason);
+        request.log(statements, &served, reason);
         TransactionAnswer {
             served,
             reason,
--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -14,12 +14,12 @@
 use crate::decision::learn;
 use crate::decision::retry::{self, AfterLoss, RETRY_PAUSE};
 use crate::decision::{Operation, Reason};
-use crate::gateway::Gateway;
+use crate::statement::Statements;
 use crate::statement::attempt::Attempt;
 use crate::statement::ending::{Decided, Known};
 use crate::statement::request::{Request, Served, Stage};
 
-impl Gateway {
+impl Statements {
     /// Serves a single write.
     pub async fn serve_write(self: &Rc<Self>, request: &Request) -> Decided {
         let mut refusal = FailureKind::Busy;
@@ -55,7 +55,11 @@
             .group(group)
             .availability
             .wait_until(request.give_up());
-        let primary = self.primary_by(group, &request.regions, until).await;
+        let primary = self
+            .leadership
+            .confirmations
+            .primary_by(group, &request.regions, until)
+            .await;
         primary.map_err(|denial| {
             let reason = give_up::without_primary(denial.is_lasting());
             match reason {
@@ -69,7 +73,7 @@
     /// Why a write is given up that was refused for `refusal`, if it is.
     fn ends_write(&self, request: &Request, refusal: FailureKind) -> Option<Reason> {
         let known = Known {
-            gateway: self,
+            statements: self,
             request,
             need: None,
             tried: &[],
@@ -108,7 +112,9 @@
             checkout.give_back();
         }
         match &answer.end {
-            Ok(_) if !self.is_upheld(target).await => return Attempt::Lost(Broken::replaced()),
+            Ok(_) if !self.leadership.checks.is_upheld(target).await => {
+                return Attempt::Lost(Broken::replaced());
+            }
             Ok(_) => self.databases.observe(&target.group, answer.position, sent),
             Err(failure) if failure.kind.not_run() => {
                 dispatch.rejected();
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -1,49 +1,96 @@
-//! Who leads a group: confirming it, noticing that a primary is lost, and replacing it.
+//! Who leads each group: confirming it, noticing that a primary is lost, and replacing it.
+//!
+//! - [`confirm`] and [`checks`]: whether a database leads, as this node and as an isolated one may know.
+//! - [`suspicion`]: primaries that fail this node are probed and reported to the failover coordinator.
+//! - [`coordinator`], [`contact`], [`grants`]: which node is the coordinator, and whether a node would
+//!   receive the fence of a primary that is replaced.
+//! - [`failover`] and [`fence`], on the coordinator only: decides that a primary is lost, has all nodes
+//!   stop using it, and appoints another.
+//!
+//! Owns what this node found out about leaders, and the rounds of failovers. Relies on `database`, `fleet`
+//! and `store`; asks the adapter for appointments ([`PrimaryControl`](crate::ports::PrimaryControl)).
 
 mod appointment;
+pub mod checks;
 pub mod confirm;
+pub mod contact;
 pub mod coordinator;
 pub mod failover;
 pub mod fence;
-pub mod lead;
-pub mod probe;
+pub mod grants;
+pub mod own_statements;
 mod replacement;
-pub mod short_contact;
 mod survey;
+pub mod suspicion;
 
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
 use std::rc::Rc;
 
 use dyketally::identifiers::GroupName;
-use dyketally::time::Timestamp;
 
-use self::lead::Vettings;
-use self::short_contact::Questions;
+use self::checks::LeadershipChecks;
+use self::confirm::Confirmations;
+use self::grants::Grants;
+use self::own_statements::OwnStatements;
+use self::suspicion::Suspicions;
+use crate::database::primary::PrimaryWatch;
+use crate::database::target::Target;
+use crate::fleet::Fleet;
+use crate::fleet::access::DatabaseAccess;
+use crate::store::feed::Feed;
 
-/// What this node found out about who leads which group.
-#[derive(Default)]
+/// What every node does about the leaders of groups.
 pub struct Leadership {
-    groups: RefCell<HashMap<GroupName, Rc<GroupLeadership>>>,
-    /// Questions for the short contact that may yet be answered.
-    questions: RefCell<Questions>,
+    /// Whether a database still leads.
+    pub checks: Rc<LeadershipChecks>,
+    /// Confirms that databases lead.
+    pub confirmations: Rc<Confirmations>,
+    /// Probes primaries that fail this node.
+    pub suspicions: Rc<Suspicions>,
+    /// The failover coordinator's grants.
+    pub grants: Rc<Grants>,
+    /// Runs statements of this node's own.
+    statements: Rc<OwnStatements>,
+    fleet: Rc<Fleet>,
 }
 
-/// What this node found out about the leader of one group.
-#[derive(Default)]
-pub struct GroupLeadership {
-    /// True while the group is searched for a primary.
-    searching: Cell<bool>,
-    /// When the running confirmation was sent, if one runs.
-    confirming: Cell<Option<Timestamp>>,
-    /// What an isolated node learnt of the group's other databases.
-    vettings: Vettings,
+impl Leadership {
+    /// The parts of a node that reaches databases by `access`.
+    pub fn new(access: &Rc<DatabaseAccess>, feed: &Rc<Feed>) -> Rc<Self> {
+        let DatabaseAccess { fleet, databases } = &**access;
+        let statements = OwnStatements::new(access.clone());
+        let cx = fleet.cx.clone();
+        let checks = LeadershipChecks::new(cx, databases.clone(), statements.clone());
+        let confirmations = Confirmations::new(
+            databases.clone(),
+            fleet.clone(),
+            checks.clone(),
+            statements.clone(),
+        );
+        Rc::new(Self {
+            checks,
+            confirmations,
+            suspicions: Suspicions::new(access.clone()),
+            grants: Grants::new(fleet.clone(), databases.clone(), feed.clone()),
+            statements,
+            fleet: fleet.clone(),
+        })
+    }
 }
 
-impl Leadership {
-    /// The group's state.
-    fn group(&self, name: &GroupName) -> Rc<GroupLeadership> {
-        let mut groups = self.groups.borrow_mut();
-        groups.entry(name.clone()).or_default().clone()
+impl PrimaryWatch for Leadership {
+    fn primary_is_unconfirmed(&self, group: &GroupName) -> bool {
+        self.checks.primary_is_unconfirmed(group)
+    }
+
+    fn suspect(self: Rc<Self>, target: &Target) {
+        self.suspicions.suspect(target);
+    }
+
+    fn report(&self, target: &Target) {
+        self.suspicions.report(target);
+    }
+
+    fn look_at_primaries(&self) {
+        self.fleet.coordinator.attention.notify_one();
     }
 }
