--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -33,7 +33,6 @@
     PrimaryControl, ReadinessProtocol, SharedCallerProtocol, SharedDatabaseProtocol,
     StoredDocuments,
 };
-use crate::session;
 use crate::settings::Settings;
 use crate::store::feed::{self, ask_seeds};
 use crate::store::keys::Keys;
@@ -147,7 +146,7 @@
     tokio::task::spawn_local(tidy(gateway.clone()));
     tokio::task::spawn_local(log_unconfirmed(gateway.cx.clone(), gateway.feed.clone()));
     updates::watch_store(&gateway, &parts, &adapters.documents);
-    let accepting = tokio::task::spawn_local(session::serve_callers(gateway.clone(), callers));
+    let accepting = tokio::task::spawn_local(gateway.sessions.clone().serve_callers(callers));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
--- a/crates/dyketally-gateway/src/session/sessions.rs
+++ b/crates/dyketally-gateway/src/session/room.rs
@@ -5,12 +5,12 @@
 
 use dyketally::capacity::{Capacity, SessionVerdict};
 
+use crate::context::Context;
 use crate::event::Event;
-use crate::gateway::Gateway;
 
 /// The sessions of this node against what it can hold.
-#[derive(Debug)]
-pub struct Sessions {
+pub(super) struct Room {
+    cx: Rc<Context>,
     capacity: Capacity,
     open: Cell<u32>,
     /// Bytes of input that isn't a whole message yet.
@@ -18,33 +18,34 @@
     full: Cell<bool>,
 }
 
-impl Sessions {
-    /// None yet, on a node with `capacity`.
-    pub fn new(capacity: Capacity) -> Self {
-        Self {
-            capacity,
+impl Room {
+    /// No sessions yet.
+    pub(super) fn new(cx: Rc<Context>) -> Rc<Self> {
+        Rc::new(Self {
+            capacity: cx.settings.node.capacity(),
+            cx,
             open: Cell::new(0),
             buffered: Rc::default(),
             full: Cell::new(false),
-        }
+        })
     }
 
     /// How many are open, those that are being refused included.
-    pub fn open(&self) -> usize {
+    pub(super) fn open(&self) -> usize {
         self.open.get() as usize
     }
 
     /// What becomes of one more.
-    pub fn judge(&self) -> SessionVerdict {
+    pub(super) fn judge(&self) -> SessionVerdict {
         self.capacity.judge(self.open.get())
     }
 
     /// True while no further ones should come.
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.full.get()
     }
 
-    /// Takes in that so many are open; true if that changes whether further ones should come.
+    /// Sets how many are open; true if that changes whether further ones should come.
     fn set_open(&self, open: u32) -> bool {
         self.open.set(open);
         let full = self.capacity.is_full(open, self.full.get());
@@ -53,28 +54,28 @@
 }
 
 /// A session that counts as open until this is dropped.
-pub(super) struct OpenSession(Rc<Gateway>);
+pub(super) struct OpenSession(Rc<Room>);
 
 impl OpenSession {
     /// Counts one more.
-    pub(super) fn begin(gateway: &Rc<Gateway>) -> Self {
-        let session = Self(gateway.clone());
-        session.count(gateway.sessions.open.get() + 1);
+    pub(super) fn begin(room: &Rc<Room>) -> Self {
+        let session = Self(room.clone());
+        session.count(room.open.get() + 1);
         session
     }
 
     fn count(&self, open: u32) {
-        let Self(gateway) = self;
-        if gateway.sessions.set_open(open) {
-            let full = gateway.sessions.is_full();
-            gateway.cx.events.write(&Event::SessionsFull { full, open });
+        let Self(room) = self;
+        if room.set_open(open) {
+            let full = room.is_full();
+            room.cx.events.write(&Event::SessionsFull { full, open });
         }
     }
 }
 
 impl Drop for OpenSession {
     fn drop(&mut self) {
-        self.count(self.0.sessions.open.get() - 1);
+        self.count(self.0.open.get() - 1);
     }
 }
 
@@ -87,15 +88,15 @@
 
 impl Buffered {
     /// Nothing yet.
-    pub(super) fn none(gateway: &Gateway) -> Self {
+    pub(super) fn none(room: &Room) -> Self {
         Self {
             own: 0,
-            all: gateway.sessions.buffered.clone(),
-            limit: gateway.sessions.capacity.input_bytes(),
+            all: room.buffered.clone(),
+            limit: room.capacity.input_bytes(),
         }
     }
 
-    /// Takes in how many bytes are kept now.
+    /// Sets how many bytes are kept now.
     pub(super) fn set(&mut self, bytes: usize) {
         let bytes = bytes as u64;
         self.all.set(self.all.get() - self.own + bytes);
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -1,4 +1,4 @@
-//! One statement of a session on its way through the gateway.
+//! One statement of a session on its way through the statements.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -7,8 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dyketally::admission::Patience;
-use dyketally::eligibility::{Denial, Intent, ServingRegions};
+use dyketally::eligibility::{Intent, ServingRegions};
 use dyketally::freshness::FreshnessNeed;
 use dyketally::group::LogPosition;
 use dyketally::route_policy::RoutePolicy;
@@ -22,32 +21,14 @@
 use crate::database::claim::{Claim, Work};
 use crate::database::connection::Answer;
 use crate::database::target::Target;
+use crate::decision::{Reason, admit, come_back, give_up};
 use crate::event::Event;
 use crate::fleet::access::ExchangeError;
 use crate::fleet::connection::DatabaseConnection;
-use crate::gateway::Gateway;
 use crate::measures::tenant_label;
 use crate::ports::DatabaseUser;
-use crate::statement::hand_over::{HandOver, HandOvers, Unrun};
-
-/// Left of the statement's time when a statement that isn't running is given up.
-const ANSWER_RESERVE: Duration = Duration::from_millis(30);
-/// Shares of a route's objective for which a statement waits behind others: in a queue that stands all
-/// who wait would be late, and what is refused at once can come back in time.
-const STANDING_QUEUE_SHARE: f64 = 0.125;
-const BURST_QUEUE_SHARE: f64 = 0.5;
-const SHORTEST_QUEUE: Duration = Duration::from_millis(50);
-/// Share of a route's objective after which a statement that found too long a queue is refused.
-const REFUSED_AFTER_SHARE: f64 = 0.4;
-/// When callers are told to come back after a refusal.
-const COME_BACK_MS: u64 = 250;
-/// The same where no database may serve the statement: a primary may be on its way to one that may,
-/// which takes about so long.
-const NOT_SERVED_COME_BACK_MS: u64 = 1_000;
-
-/// The same where the database has just started, drawn at random: callers who are refused together
-/// come back spread over the span in which they may retry, so that no second is overfull.
-const COLD_COME_BACK_MS: std::ops::RangeInclusive<u64> = 300..=2_000;
+use crate::statement::Statements;
+use crate::statement::dispatch::{Dispatch, Dispatches, ProvenNotRun};
 
 /// Where a statement stands in its transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -94,7 +75,7 @@
     /// Attempts made at databases.
     pub attempts: Cell<u32>,
     /// Whether it may have run.
-    pub hand_overs: HandOvers,
+    pub dispatches: Dispatches,
 }
 
 /// What a caller is told of a statement.
@@ -118,7 +99,7 @@
         }
     }
 
-    /// A failure of the gateway's own.
+    /// A failure of the statements's own.
     pub fn failed(kind: FailureKind, message: &str) -> Self {
         Self {
             rows: Vec::new(),
@@ -130,13 +111,9 @@
         }
     }
 
-    /// The statement has not run, as `_unrun` tells; the caller should come back.
-    pub fn not_run(kind: FailureKind, _unrun: Unrun) -> Self {
-        let come_back_ms = match kind {
-            FailureKind::NotServedHere => NOT_SERVED_COME_BACK_MS,
-            FailureKind::DatabaseCold => rand::random_range(COLD_COME_BACK_MS),
-            _ => COME_BACK_MS,
-        };
+    /// The statement has not run, as `_proof` tells; the caller should come back.
+    pub fn not_run(kind: FailureKind, _proof: ProvenNotRun) -> Self {
+        let come_back_ms = come_back::after_refusal(kind, rand::random_range).as_millis();
         Self::failed(
             kind,
             &format!("the statement has not run; come back after {come_back_ms} ms"),
@@ -157,22 +134,24 @@
 
     /// The caller's key may have been taken away unnoticed, and nothing has run.
     pub fn key_uncertain() -> Self {
+        let come_back_ms = come_back::after_rollback().as_millis();
         Self::failed(
             FailureKind::KeyUncertain,
             &format!(
                 "this node is out of touch and can't know whether the key still stands; nothing has \
-                 run; connect to another node, or come back after {COME_BACK_MS} ms"
+                 run; connect to another node, or come back after {come_back_ms} ms"
             ),
         )
     }
 
     /// The statement's transaction is rolled back, and nothing was kept. Its statements may have run.
     pub fn rolled_back() -> Self {
+        let come_back_ms = come_back::after_rollback().as_millis();
         Self::failed(
             FailureKind::Aborted,
             &format!(
                 "the transaction is rolled back and nothing of it is kept; \
-                 begin it again after {COME_BACK_MS} ms"
+                 begin it again after {come_back_ms} ms"
             ),
         )
     }
@@ -225,10 +204,7 @@
         Claim {
             priority: self.route.priority + 1,
             until: self.give_up(),
-            patience: Patience {
-                burst: self.share(BURST_QUEUE_SHARE),
-                standing: self.share(STANDING_QUEUE_SHARE),
-            },
+            patience: admit::patience(self.route.latency_objective),
             work,
             user: Some(self.user()),
             regions: self.regions.clone(),
@@ -249,45 +225,9 @@
         consistency.need(self.arrived, self.connected, self.own_commit)
     }
 
-    fn share(&self, share: f64) -> Duration {
-        let objective = self.route.latency_objective;
-        objective.mul_f64(share).max(SHORTEST_QUEUE)
-    }
-
     /// When the statement is given up if it isn't running by then.
     pub fn give_up(&self) -> Instant {
-        self.deadline - ANSWER_RESERVE
-    }
-
-    /// True when the statement should be refused, given why it wasn't run: connections are short,
-    /// here or at the database, and it would be late if it waited longer.
-    pub fn is_hopeless(&self, gateway: &Gateway, refusal: FailureKind) -> bool {
-        let limit = self.route.latency_objective.mul_f64(REFUSED_AFTER_SHARE);
-        let elapsed = gateway.cx.now().saturating_since(self.arrived);
-        match refusal {
-            FailureKind::QueueTooLong | FailureKind::NotServedHere | FailureKind::DatabaseCold => {
-                true
-            }
-            FailureKind::NoConnection | FailureKind::Overloaded => elapsed >= limit,
-            _ => false,
-        }
-    }
-
-    /// What the caller is told when no further attempt is made, where the last one was refused for
-    /// `refusal`: that the statement hasn't run, but only if that is so.
-    pub fn refuse(&self, refusal: FailureKind) -> Served {
-        match self.hand_overs.unrun() {
-            Some(unrun) => Served::not_run(refusal, unrun),
-            None => Served::in_doubt("an attempt got no answer that counts"),
-        }
-    }
-
-    /// What the caller is told when the statement's time is over.
-    pub fn out_of_time(&self, refusal: FailureKind) -> Served {
-        match self.hand_overs.unrun() {
-            Some(unrun) => Served::not_run(refusal, unrun),
-            None => Served::timed_out(),
-        }
+        give_up::latest_start(self.deadline)
     }
 
     /// Hands the statement to a connection as part of `batch`. Whoever judges the answers says
@@ -297,59 +237,49 @@
     /// There are no answers; tells whether anything may have run.
     pub async fn exchange(
         &self,
-        gateway: &Rc<Gateway>,
+        statements: &Rc<Statements>,
         checkout: &mut DatabaseConnection,
         target: &Target,
         batch: &Batch,
         stage: Stage,
-    ) -> Result<(Vec<Answer>, HandOver), ExchangeError> {
+    ) -> Result<(Vec<Answer>, Dispatch), ExchangeError> {
         let intent = match stage {
             Stage::First => Intent::first(&self.regions, batch.needs_leader()),
             Stage::Further => Intent::further(batch.needs_leader()),
         };
         // Leave is asked for behind all waits, since the zone may be evacuated meanwhile.
         checkout.wait_for_turn(batch).await;
-        let permission = gateway.databases.may_send(target, &intent);
+        let permission = statements.databases.may_send(target, &intent);
         let permission =
             permission.map_err(|denial| ExchangeError::NotRun(failure_kind(denial)))?;
-        let hand_over = self.hand_overs.begin();
-        match gateway
+        let dispatch = self.dispatches.begin();
+        match statements
             .access
             .exchange(checkout, target, batch, permission)
             .await
         {
-            Ok(answers) => Ok((answers, hand_over)),
+            Ok(answers) => Ok((answers, dispatch)),
             Err(ExchangeError::NotRun(kind)) => {
-                hand_over.rejected();
+                dispatch.rejected();
                 Err(ExchangeError::NotRun(kind))
             }
             Err(ExchangeError::Lost(broken)) => Err(ExchangeError::Lost(broken)),
         }
     }
 
-    /// Why no database of the group can serve it for now, `needs_leader` or not; counted and logged.
-    pub fn served_nowhere(&self, gateway: &Gateway, needs_leader: bool) -> Option<Denial> {
-        let intent = Intent::first(&self.regions, needs_leader);
-        let denial = gateway
-            .databases
-            .denied_for_good(&self.route.group, &intent)?;
-        gateway.report_served_nowhere(&self.route, &self.regions, denial);
-        Some(denial)
-    }
-
     /// Counts an attempt at a database.
-    pub fn attempt(&self, gateway: &Gateway) {
+    pub fn attempt(&self, statements: &Statements) {
         if self.attempts.get() > 0 {
-            gateway.cx.counters.further_attempts.add();
+            statements.cx.counters.further_attempts.add();
         }
         self.attempts.set(self.attempts.get() + 1);
     }
 
     /// Measures what the caller is told, and logs it if it isn't an ordinary success.
-    pub fn log(&self, gateway: &Gateway, served: &Served, reason: &str) {
-        let elapsed = gateway.cx.now().saturating_since(self.arrived);
+    pub fn log(&self, statements: &Statements, served: &Served, reason: Reason) {
+        let elapsed = statements.cx.now().saturating_since(self.arrived);
         let failed = served.end.as_ref().err().map(|failure| failure.kind);
-        gateway
+        statements
             .cx
             .measures
             .answered(&self.route.name, failed, elapsed);
@@ -358,12 +288,12 @@
             Ok(_) => "served".to_owned(),
             Err(failure) => format!("{:?}", failure.kind),
         };
-        gateway.cx.events.write(&Event::StatementDecided {
+        statements.cx.events.write(&Event::StatementDecided {
             id: &String::from_utf8_lossy(&self.id),
             group: self.route.group.as_str(),
             tenant: tenant_label(self.tenant.as_ref().map(|tenant| &tenant.name)),
             outcome,
-            reason,
+            reason: &reason.to_string(),
             attempts: self.attempts.get(),
             elapsed_ms: elapsed.as_millis() as u64,
         });
--- a/crates/dyketally-gateway/tests/reach.rs
+++ b/crates/dyketally-gateway/tests/reach.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use dyketally_gateway::database::availability::PrimaryAvailability;
+use dyketally_gateway::decision::wait;
 use rstest::rstest;
 use tokio::time::{Instant, advance};
 
@@ -27,7 +28,7 @@
         advance(PAUSE).await;
     }
     unled.attempt_failed();
-    assert_eq!(unled.is_unavailable(), out_of_reach);
+    assert_eq!(wait::is_unavailable(unled.missing_for()), out_of_reach);
 }
 
 #[tokio::test(start_paused = true)]
@@ -37,9 +38,9 @@
         unled.attempt_failed();
         advance(PAUSE).await;
     }
-    assert!(unled.is_unavailable());
+    assert!(wait::is_unavailable(unled.missing_for()));
     unled.answered();
-    assert!(!unled.is_unavailable());
+    assert!(!wait::is_unavailable(unled.missing_for()));
 }
 
 /// Two losses that lie apart are two: the second primary is waited for as long as the first.
@@ -49,7 +50,7 @@
     unled.attempt_failed();
     advance(PAUSE * 9).await;
     unled.attempt_failed();
-    assert!(!unled.is_unavailable());
+    assert!(!wait::is_unavailable(unled.missing_for()));
     let latest = Instant::now() + PAUSE * 9;
     assert!(unled.wait_until(latest) > Instant::now() + PAUSE * 3);
 }
