--- a/crates/dyketally-gateway/src/node/exposition.rs
+++ b/crates/dyketally-gateway/src/node/exposition.rs
@@ -7,13 +7,22 @@
 use crate::gateway::Gateway;
 use crate::measures::registered;
 
-impl Gateway {
-    /// All metrics, as text.
-    pub fn metrics(&self) -> String {
+/// All metrics of a process, as text.
+pub(super) fn metrics(gateway: &Gateway) -> String {
+    Exposition { gateway }.text()
+}
+
+/// The state of a process, as it is told by its metrics.
+struct Exposition<'a> {
+    gateway: &'a Gateway,
+}
+
+impl Exposition<'_> {
+    fn text(&self) -> String {
         let now = Registry::new();
         self.collect_counters(&now);
         self.collect_state(&now);
-        let mut families = self.cx.measures.gather();
+        let mut families = self.gateway.cx.measures.gather();
         families.extend(now.gather());
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&families, &mut text) {
@@ -24,7 +33,7 @@
 
     /// The counters of the log under their names there.
     fn collect_counters(&self, registry: &Registry) {
-        let Ok(Value::Object(counters)) = serde_json::to_value(&self.cx.counters) else {
+        let Ok(Value::Object(counters)) = serde_json::to_value(&self.gateway.cx.counters) else {
             return;
         };
         for (name, value) in counters {
@@ -50,25 +59,29 @@
         let set = |name: &str, help: &str, value: usize| {
             gauge(registry, name, help, Some(value as f64));
         };
-        set("dyketally_sessions", "Open sessions.", self.sessions.open());
+        set(
+            "dyketally_sessions",
+            "Open sessions.",
+            self.gateway.sessions.open(),
+        );
         set(
             "dyketally_nodes",
             "Nodes that run.",
-            self.fleet.membership.node_count(),
+            self.gateway.fleet.membership.node_count(),
         );
-        let has_duty = usize::from(self.fleet.coordinator.last_term().is_some());
+        let has_duty = usize::from(self.gateway.fleet.coordinator.last_term().is_some());
         set(
             "dyketally_duty",
             "1 while this node replaces primaries.",
             has_duty,
         );
-        let in_touch = usize::from(self.cx.is_in_touch());
+        let in_touch = usize::from(self.gateway.cx.is_in_touch());
         set(
             "dyketally_in_touch",
             "1 while this node hears of successions.",
             in_touch,
         );
-        let routes = self.cx.routes();
+        let routes = self.gateway.cx.routes();
         let revision = routes.revision.0 as f64;
         gauge(
             registry,
@@ -76,7 +89,7 @@
             "Revision of the configuration in force.",
             Some(revision),
         );
-        if let Some(age) = self.cx.configuration_age() {
+        if let Some(age) = self.gateway.cx.configuration_age() {
             gauge(
                 registry,
                 "dyketally_configuration_age_seconds",
@@ -84,7 +97,7 @@
                 Some(age.as_secs_f64()),
             );
         }
-        let lost_for = self.feed.watches_lost_for();
+        let lost_for = self.gateway.feed.watches_lost_for();
         gauge(
             registry,
             "dyketally_watch_lost_seconds",
@@ -93,11 +106,16 @@
         );
         let name = "dyketally_sent_bytes_to_node_total";
         let sent = gauges(registry, name, "Bytes sent to another node.", &["node"]);
-        for (node, bytes) in self.fleet.traffic.by_node() {
+        for (node, bytes) in self.gateway.fleet.traffic.by_node() {
             let bytes = i64::try_from(bytes).unwrap_or(i64::MAX);
             sent.with_label_values(&[node.as_str()]).set(bytes);
         }
-        let lag = self.databases.replica_lag.get().value(self.cx.now());
+        let lag = self
+            .gateway
+            .databases
+            .replica_lag
+            .get()
+            .value(self.gateway.cx.now());
         gauge(
             registry,
             "dyketally_replica_lag_seconds",
@@ -117,7 +135,7 @@
             "Whether a database may be cold, what this node may send to it then, and what became of it.",
             &["database", "what"],
         );
-        for (name, pacer) in self.databases.pacers() {
+        for (name, pacer) in self.gateway.databases.pacers() {
             let Some(status) = pacer.status() else {
                 continue;
             };
@@ -142,7 +160,7 @@
             "1 for each zone whose databases get nothing more.",
             &["zone"],
         );
-        for zone in self.databases.evacuated_zones() {
+        for zone in self.gateway.databases.evacuated_zones() {
             evacuated.with_label_values(&[zone.as_str()]).set(1);
         }
         let serving = gauges(
@@ -151,7 +169,7 @@
             "1 for each region that may serve a route which not all regions serve.",
             &["route", "region"],
         );
-        let routes = self.cx.routes();
+        let routes = self.gateway.cx.routes();
         for route in routes.routes.values() {
             for region in route.regions.named() {
                 let labels = [route.name.as_str(), region.as_str()];
@@ -181,8 +199,8 @@
             "1 for the database that is taken for its group's primary.",
             &["group", "database"],
         );
-        let directory = self.databases.directory.borrow();
-        for (name, state) in self.databases.states.borrow().iter() {
+        let directory = self.gateway.databases.directory.borrow();
+        for (name, state) in self.gateway.databases.states.borrow().iter() {
             let status = state.pool.status();
             let figures = [
                 ("open", status.open),
--- a/crates/dyketally-gateway/src/node/metrics.rs
+++ b/crates/dyketally-gateway/src/node/metrics.rs
@@ -6,6 +6,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
+use super::exposition;
 use super::readiness::next_head;
 use crate::context::accept;
 use crate::gateway::Gateway;
@@ -34,7 +35,7 @@
     };
     let path = head.split(' ').nth(1).unwrap_or_default();
     let (status, body) = match path {
-        PATH => ("200 OK", gateway.metrics()),
+        PATH => ("200 OK", exposition::metrics(&gateway)),
         _ => ("404 Not Found", String::new()),
     };
     let length = body.len();
