--- a/crates/dyketally-gateway/src/node/nodes_handler.rs
+++ b/crates/dyketally-gateway/src/node/nodes_handler.rs
@@ -2,7 +2,6 @@
 
 use std::rc::Rc;
 
-use dyketally::identifiers::NodeName;
 use dyketally_store::key_value::{Entry, Key, WatchEvent};
 use dyketally_store::update::StoreUpdate;
 
@@ -85,9 +84,8 @@
             fleet.coordinator.record_deleted();
             return;
         }
-        let text = key.to_string();
-        if let Some((_, name)) = text.rsplit_once('/') {
-            fleet.membership.left(&NodeName::new(name));
+        if let Some(name) = self.keys.node_of(key) {
+            fleet.membership.left(&name);
         }
     }
 }
--- a/crates/dyketally-gateway/src/store/keys.rs
+++ b/crates/dyketally-gateway/src/store/keys.rs
@@ -43,6 +43,13 @@
         Key::from(format!("{}{NODES}{name}", self.prefix))
     }
 
+    /// The node that `key` is about, if it is one of [`Keys::of_node`].
+    pub fn node_of(&self, key: &Key) -> Option<NodeName> {
+        let text = key.to_string();
+        let (_, name) = text.rsplit_once('/')?;
+        Some(NodeName::from(name))
+    }
+
     /// The key of the failover coordinator.
     pub fn coordinator(&self) -> Key {
         Key::from(format!("{}{COORDINATOR}", self.prefix))
