--- a/crates/dyketally-gateway/tests/stored_keys.rs
+++ b/crates/dyketally-gateway/tests/stored_keys.rs
@@ -83,6 +83,18 @@
     assert_eq!(fenced, database.map(DatabaseName::from));
 }
 
+/// A database may have the name of a node: that its fence is lifted doesn't remove the node.
+#[rstest]
+#[case::of_a_node("proxy/nodes/n-2", Some("n-2"))]
+#[case::of_a_node_whose_name_has_a_slash("proxy/nodes/a/b", Some("a/b"))]
+#[case::of_a_fence("proxy/fences/n-2", None)]
+#[case::of_the_coordinator("proxy/duty/primary-control", None)]
+#[case::below_another_prefix("other/nodes/n-2", None)]
+fn a_key_names_the_node(#[case] key: &str, #[case] node: Option<&str>) {
+    let named = own_keys().node_of(&Key::from(key));
+    assert_eq!(named, node.map(NodeName::from));
+}
+
 /// A node puts the same record under its own key and under the coordinator's.
 #[test]
 fn a_node_puts_its_record_as_json() {
