--- a/crates/dyketally-gateway/src/store/keys.rs
+++ b/crates/dyketally-gateway/src/store/keys.rs
@@ -46,7 +46,7 @@
     /// The node that `key` is about, if it is one of [`Keys::of_node`].
     pub fn node_of(&self, key: &Key) -> Option<NodeName> {
         let text = key.to_string();
-        let (_, name) = text.rsplit_once('/')?;
+        let name = text.strip_prefix(&self.prefix)?.strip_prefix(NODES)?;
         Some(NodeName::from(name))
     }
 
