--- a/crates/dyketally-gateway/src/succession/failover.rs
+++ b/crates/dyketally-gateway/src/succession/failover.rs
@@ -1,7 +1,7 @@
-//! Decides on the failover coordinator that a primary is lost, leaves, or should lead elsewhere.
+//! Looks after the primaries of all groups, on the failover coordinator.
 //!
 //! [`Failover`] owns which groups are being looked at and when primaries may be moved without need. Its steps
-//! stand in `cause`, `survey`, `replacement` and `appointment`.
+//! stand in `cause`, `poll`, `survey`, `replacement` and `appointment`.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -9,30 +9,25 @@
 use std::time::Duration;
 
 use dyketally::eligibility::Moves;
-use dyketally::failover::{Appointments, PollResult, Verdict, judge};
+use dyketally::failover::Appointments;
 use dyketally::identifiers::GroupName;
 use tokio::time::Instant;
 
 use crate::context::Context;
 use crate::database::Databases;
-use crate::database::target::Target;
 use crate::event::Event;
 use crate::fleet::Fleet;
-use crate::fleet::peer::{Peers, Vote};
+use crate::fleet::peer::Peers;
 use crate::ports::PrimaryControl;
 use crate::succession::Leadership;
 use crate::succession::coordinator::CoordinatorKeeper;
 use crate::succession::fence::FenceKeeper;
-use crate::succession::suspicion::PROBE_LIMIT;
 
 /// How often the coordinator looks at all groups without being notified. Not measured.
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long votes are waited for: longer than a probe takes. Not measured.
-const VOTES_LIMIT: Duration = Duration::from_millis(400);
-/// A suspicion that lasts this long needs fewer votes. Not measured.
-const PROLONGED: Duration = Duration::from_millis(2_500);
 /// Pause after an attempt that failed. Not measured.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(200);
+
 /// Replaces primaries while this node is the failover coordinator.
 pub struct Failover {
     pub(super) cx: Rc<Context>,
@@ -44,6 +39,7 @@
     pub(super) control: Rc<dyn PrimaryControl>,
     pub(super) fences: FenceKeeper,
     pub(super) appointments: RefCell<Appointments>,
+    /// Groups that are being looked at.
     busy: RefCell<HashSet<GroupName>>,
     /// When a fence around the primary of a group couldn't be closed.
     pub(super) unclosed: RefCell<HashMap<GroupName, Instant>>,
@@ -133,51 +129,4 @@
         let mut unclosed = self.unclosed.borrow_mut();
         unclosed.insert(group.clone(), Instant::now());
     }
-
-    /// Polls other nodes on `primary`, which was suspected at `since`, until their votes decide.
-    pub(super) async fn verdict(&self, primary: &Target, since: Instant) -> Verdict {
-        let mut poll = self.peers.poll(&primary.group, &primary.name);
-        let nodes = poll.asked + 1;
-        let mut result = PollResult {
-            nodes,
-            prolonged: since.elapsed() > PROLONGED,
-            ..PollResult::default()
-        };
-        let until = Instant::now() + VOTES_LIMIT;
-        let own = self.leadership.suspicions.evidence_of(primary);
-        tokio::pin!(own);
-        let mut own_known = false;
-        loop {
-            let vote: Option<Vote> = tokio::select! {
-                evidence = &mut own, if !own_known => {
-                    own_known = true;
-                    let store_lost = self.cx.store_health.is_lost();
-                    let from = self.cx.settings.listen.peers;
-                    Some(Vote { evidence, store_lost, from })
-                }
-                vote = poll.votes.receiver.recv() => vote,
-                () = tokio::time::sleep_until(until) => None,
-            };
-            match vote {
-                Some(vote) => {
-                    result.evidence.push(vote.evidence);
-                    result.store_lost += usize::from(vote.store_lost);
-                }
-                None => result.complete = true,
-            }
-            result.lease_runs = self.fleet.coordinator.term().is_some();
-            let verdict = judge(&result);
-            if verdict != Verdict::Undecided || result.complete {
-                self.cx.events.write(&Event::PrimaryPolled {
-                    group: primary.group.as_str(),
-                    database: primary.name.as_str(),
-                    evidence: format!("{:?} of {nodes}", result.evidence),
-                    verdict: format!("{verdict:?}"),
-                });
-                return verdict;
-            }
-        }
-    }
 }
-
-const _: () = assert!(PROBE_LIMIT.as_millis() < VOTES_LIMIT.as_millis());
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -20,6 +20,7 @@
 pub mod fence;
 pub mod grants;
 pub mod own_statements;
+mod poll;
 mod replacement;
 mod survey;
 pub mod suspicion;
--- /dev/null
+++ b/crates/dyketally-gateway/src/succession/poll.rs
@@ -0,0 +1,81 @@
+//! Polls the nodes on a primary that is suspected, and judges it by their votes.
+
+use std::time::Duration;
+
+use dyketally::failover::{PollResult, Verdict, judge};
+use tokio::time::Instant;
+
+use super::failover::Failover;
+use super::suspicion::PROBE_LIMIT;
+use crate::database::target::Target;
+use crate::event::Event;
+use crate::fleet::peer::Vote;
+
+/// How long votes are waited for: longer than a probe takes. Not measured.
+const VOTES_LIMIT: Duration = Duration::from_millis(400);
+/// A suspicion that lasts this long needs fewer votes. Not measured.
+const PROLONGED: Duration = Duration::from_millis(2_500);
+
+impl Failover {
+    /// The verdict on `primary`, which was suspected at `since`, as soon as the votes decide.
+    pub(super) async fn verdict(&self, primary: &Target, since: Instant) -> Verdict {
+        let mut poll = self.peers.poll(&primary.group, &primary.name);
+        let mut result = PollResult {
+            nodes: poll.asked + 1,
+            prolonged: since.elapsed() > PROLONGED,
+            ..PollResult::default()
+        };
+        let until = Instant::now() + VOTES_LIMIT;
+        let own = self.own_vote(primary);
+        tokio::pin!(own);
+        let mut own_known = false;
+        loop {
+            let vote = tokio::select! {
+                vote = &mut own, if !own_known => {
+                    own_known = true;
+                    Some(vote)
+                }
+                vote = poll.votes.receiver.recv() => vote,
+                () = tokio::time::sleep_until(until) => None,
+            };
+            count(&mut result, vote);
+            result.lease_runs = self.fleet.coordinator.term().is_some();
+            let verdict = judge(&result);
+            if verdict != Verdict::Undecided || result.complete {
+                self.log_poll(primary, &result, verdict);
+                return verdict;
+            }
+        }
+    }
+
+    async fn own_vote(&self, primary: &Target) -> Vote {
+        let evidence = self.leadership.suspicions.evidence_of(primary).await;
+        Vote {
+            evidence,
+            store_lost: self.cx.store_health.is_lost(),
+            from: self.cx.settings.listen.peers,
+        }
+    }
+
+    fn log_poll(&self, primary: &Target, result: &PollResult, verdict: Verdict) {
+        self.cx.events.write(&Event::PrimaryPolled {
+            group: primary.group.as_str(),
+            database: primary.name.as_str(),
+            evidence: format!("{:?} of {}", result.evidence, result.nodes),
+            verdict: format!("{verdict:?}"),
+        });
+    }
+}
+
+/// Counts a vote; none means that no further one is waited for.
+fn count(result: &mut PollResult, vote: Option<Vote>) {
+    match vote {
+        Some(vote) => {
+            result.evidence.push(vote.evidence);
+            result.store_lost += usize::from(vote.store_lost);
+        }
+        None => result.complete = true,
+    }
+}
+
+const _: () = assert!(PROBE_LIMIT.as_millis() < VOTES_LIMIT.as_millis());
