--- a/crates/dyketally-gateway/src/succession/failover.rs
+++ b/crates/dyketally-gateway/src/succession/failover.rs
@@ -1,7 +1,7 @@
 //! Looks after the primaries of all groups, on the failover coordinator.
 //!
 //! [`Failover`] owns which groups are being looked at and when primaries may be moved without need. Its steps
-//! stand in `cause`, `poll`, `survey`, `replacement` and `appointment`.
+//! stand in `cause`, `poll`, `survey`, `replacement`, `handover` and `appointment`.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -19,6 +19,7 @@
 pub mod failover;
 pub mod fence;
 pub mod grants;
+mod handover;
 pub mod own_statements;
 mod poll;
 mod replacement;
