--- a/crates/dyketally-gateway/src/succession/handover.rs
+++ b/crates/dyketally-gateway/src/succession/handover.rs
@@ -53,7 +53,7 @@
     /// None could be appointed.
     Failed,
     /// The old primary didn't say that it stepped down, and may go on.
-    Unheard,
+    NoReply,
 }
 
 impl Failover {
@@ -88,7 +88,7 @@
             return Handover::PutOff;
         }
         let Some(position) = self.step_down(old, surveyed.newest_term + 1).await else {
-            return Handover::Unheard;
+            return Handover::NoReply;
         };
         let caught_up = self.caught_up(group, old, position, successor, regions);
         let successor = match (caught_up.await, behind) {
--- a/crates/dyketally-gateway/src/succession/replacement.rs
+++ b/crates/dyketally-gateway/src/succession/replacement.rs
@@ -30,7 +30,7 @@
                     Handover::Leads => true,
                     Handover::PutOff | Handover::Failed => false,
                     // It doesn't answer, so it is replaced like one that is lost.
-                    Handover::Unheard => self.take_over(group, Some(old), STEP_DOWN_LIMIT).await,
+                    Handover::NoReply => self.take_over(group, Some(old), STEP_DOWN_LIMIT).await,
                 }
             }
             Cause::Evacuated(old) => self.evacuate(group, old).await,
@@ -76,7 +76,7 @@
         match handover {
             Handover::Leads => true,
             Handover::PutOff | Handover::Failed => false,
-            Handover::Unheard => self.take_over(group, Some(old), STEP_DOWN_LIMIT).await,
+            Handover::NoReply => self.take_over(group, Some(old), STEP_DOWN_LIMIT).await,
         }
     }
 
