--- a/crates/dyketally-lab/src/load/rate.rs
+++ b/crates/dyketally-lab/src/load/rate.rs
@@ -5,9 +5,9 @@
 use eyre::OptionExt;
 use tokio::task::JoinSet;
 
-use crate::bench::Topology;
-use crate::experiment::Figure;
+use crate::testbed::Topology;
 
+use super::result::Figure;
 use super::target::{Reader, Target, TargetKind};
 
 /// Clock ticks of processor time in a second.
