--- a/crates/dyketally-gateway/src/context/store_health.rs
+++ b/crates/dyketally-gateway/src/context/store_health.rs
@@ -1,4 +1,5 @@
-//! Whether the store replies to this node, by its own calls or by way of a relay.
+//! Whether the store replies to this node, by its own calls or by way of a relay. Owns when it replied
+//! last; relies on nothing.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/crates/dyketally-gateway/src/fleet/coordinator.rs
+++ b/crates/dyketally-gateway/src/fleet/coordinator.rs
@@ -2,7 +2,8 @@
 //!
 //! The coordinator holds a lease in the store; its key names it, and the revision at which the key was
 //! put is the fencing token of its term. `succession` campaigns for the lease and keeps it. Other parts
-//! read from here who the coordinator is, and report to it what needs its attention.
+//! read from here who the coordinator is, and report to it what needs its attention. Relies on
+//! the records of nodes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/dyketally-gateway/src/node/nodes_handler.rs
+++ b/crates/dyketally-gateway/src/node/nodes_handler.rs
@@ -1,4 +1,5 @@
 //! Applies updates of the keys that nodes keep in the store: nodes, the failover coordinator and fences.
+//! Owns nothing; relies on the names of keys and on the parts that keep the state.
 
 use std::rc::Rc;
 
--- a/crates/dyketally-gateway/src/store/feed/contact.rs
+++ b/crates/dyketally-gateway/src/store/feed/contact.rs
@@ -1,4 +1,6 @@
 //! How lately a relay had replies of the store and of most nodes, which counts for its followers.
+//!
+//! Owns nothing; relies on this node's contact and on the fences that stand here.
 
 use dyketally::time::Timestamp;
 use std::time::Duration;
--- a/crates/dyketally-gateway/src/store/feed/copies.rs
+++ b/crates/dyketally-gateway/src/store/feed/copies.rs
@@ -1,4 +1,6 @@
 //! This node's copies of all subjects, and what is sent of them to the nodes that follow this one.
+//!
+//! Owns the copies and the channel of changes; relies on [`Copy`] for a single one.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/dyketally-gateway/src/store/feed/copy.rs
+++ b/crates/dyketally-gateway/src/store/feed/copy.rs
@@ -1,4 +1,5 @@
-//! A node's copy of one subject.
+//! A node's copy of one subject: its entries, how current they are, and changes as differences to it. Relies
+//! on nothing else of the feed but its messages.
 
 use std::collections::BTreeMap;
 
--- a/crates/dyketally-gateway/src/store/feed/message.rs
+++ b/crates/dyketally-gateway/src/store/feed/message.rs
@@ -1,4 +1,5 @@
-//! What nodes send each other over a feed.
+//! What nodes send each other over a feed, and how it is encoded. Nodes of other builds read it: variants and
+//! fields keep their places.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::{Read, Write};
@@ -18,7 +19,7 @@
 pub use crate::context::contact::RelayContact;
 
 /// Messages from this length on are compressed, in bytes: a configuration may have hundreds of
-/// kilobytes, and a relay sends it to all of its followers.
+/// kilobytes, and a relay sends it to all of its followers. Not measured.
 const COMPRESSED_FROM: usize = 1_024;
 /// Longest message once it is expanded, in bytes; four times the longest value of a store.
 const EXPANDED_AT_MOST: u64 = 4 << 20;
@@ -47,7 +48,7 @@
     Pong {
         /// The ping; zero in the first message.
         ping: u64,
-        /// How lately the relay was in touch.
+        /// How lately the store and most nodes replied to the relay.
         contact: RelayContact,
         /// How long ago the relay's configuration was confirmed to be the newest one; `None` while it
         /// never was.
--- a/crates/dyketally-gateway/src/store/feed/nearer.rs
+++ b/crates/dyketally-gateway/src/store/feed/nearer.rs
@@ -1,4 +1,4 @@
-//! The way back to a relay of the own zone, for a node that follows one of another zone.
+//! The way back to a relay of the own zone, for a node that follows one of another zone. Owns nothing.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 const LOOK_INTERVAL: Duration = Duration::from_secs(2);
 const LOOK_SPREAD: Duration = Duration::from_secs(1);
 
-/// Waits until a relay of the own zone is in touch with the store while `followed` is none of those.
+/// Waits until a relay of the own zone has contact with the store while `followed` is none of those.
 /// A relay is asked before the other one is left: to follow means to be sent a copy of everything.
 pub(super) async fn until_nearer_relay(feed: &Feed, followed: SocketAddr) {
     loop {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Whether a relay is in touch with the store, by its first message; `None` if it doesn't serve.
+/// Whether a relay has contact with the store, by its first message; `None` if it doesn't serve.
 async fn is_in_touch(relay: SocketAddr) -> Option<bool> {
     let stream = forwarding::open(relay, &Opening::Feed).await.ok()?;
     let first = frames(stream).next().await?.ok()?;
--- a/crates/dyketally-gateway/src/store/feed/pings.rs
+++ b/crates/dyketally-gateway/src/store/feed/pings.rs
@@ -1,5 +1,5 @@
 //! What a follower knows of its relay by the messages between them: which pings are under way, and when
-//! something arrived last.
+//! something arrived last. Owns both; relies on nothing else of the feed.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 use crate::fleet::link::Frames;
 
 /// Pings that may be under way: replies wait behind copies and changes, which may take a relay's link
-/// seconds, and a follower that took only the last ping's reply would have none.
+/// seconds, and a follower that counted only the last ping's reply would have none. Not measured.
 const UNDER_WAY_AT_MOST: usize = 16;
 
 /// The pings of one relay, numbered from one.
--- a/crates/dyketally-gateway/src/store/feed/publisher.rs
+++ b/crates/dyketally-gateway/src/store/feed/publisher.rs
@@ -1,4 +1,5 @@
-//! The relay's side: sends copies and changes to one follower.
+//! The relay's side: sends copies and changes to one follower. Owns the connection; relies on the copies and
+//! on this node's contact, which a pong reports.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -54,12 +55,12 @@
 impl Publisher {
     /// Sends copies, then changes and replies to pings. `None` when the connection can't be used further.
     async fn run(mut self) -> Option<()> {
-        // A follower that looks for a relay in touch with the store leaves after this, and shouldn't have
+        // A follower that looks for a relay with contact to the store leaves after this, and shouldn't have
         // been sent all the rest.
         let pong = encode(&self.feed.pong(0));
         self.send(PONG, pong).await?;
         let ping = self.first_ping().await?;
-        // A follower of an older build doesn't tell what it has.
+        // A follower of an older build doesn't send what it has.
         let known = decode(&ping).map_or(Vec::new(), |first: FirstPing| first.known);
         let changes = self.feed.copies.subscribe();
         for subject in SUBJECTS {
--- a/crates/dyketally-gateway/src/store/feed/relays.rs
+++ b/crates/dyketally-gateway/src/store/feed/relays.rs
@@ -1,4 +1,5 @@
-//! Which nodes are relays, and which of them this node follows.
+//! Which nodes are relays, and which of them this node follows. Owns nothing; relies on the list of nodes, on
+//! whether this node is the failover coordinator, and on how current its own watches are.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -153,7 +154,7 @@
     }
 }
 
-/// Asks seeds which relays there are until this node follows one, or the store tells which nodes run.
+/// Asks seeds which relays there are until this node follows one, or knows which nodes run.
 pub async fn ask_seeds(feed: Rc<Feed>, peers: Rc<Peers>) {
     let message = PeerMessage::RelaysAsked {
         zone: feed.cx.settings.node.zone.clone(),
--- a/crates/dyketally-gateway/src/store/feed/subscriber.rs
+++ b/crates/dyketally-gateway/src/store/feed/subscriber.rs
@@ -1,4 +1,6 @@
 //! Follows relays on behalf of one node: one after the other, as long as there are any.
+//!
+//! Owns the choice of the next relay; relies on `relays` for the candidates and on `subscription` for one.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Follows one relay after the other until none is left, a nearer one is in touch with the store, or
+    /// Follows one relay after the other until none is left, a nearer one has contact with the store, or
     /// this node turns to the store itself.
     async fn follow_all(&self, demand: Demand) -> Next {
         for relay in self.parts.feed.relays_to_follow() {
--- a/crates/dyketally-gateway/src/store/feed/subscription.rs
+++ b/crates/dyketally-gateway/src/store/feed/subscription.rs
@@ -1,4 +1,5 @@
-//! One relay that is followed, from its first message until it is left.
+//! One relay that is followed, from its first message until it is left. Owns the connection and what the relay
+//! has sent so far; relies on the feed for copies and contact, and on handlers for what an update changes.
 
 use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
@@ -29,8 +30,8 @@
 /// Pause between two pings while the relay has lost the store: its contact with the other nodes holds
 /// for 0.9 s only. Not measured.
 const PING_INTERVAL_IN_OUTAGE: Duration = Duration::from_millis(300);
-/// Age of a relay's contact with the store from which on it is pinged as in an outage: a relay in touch
-/// renews its lease each 0.7 s, and one that has lost the store must be left early enough for another
+/// Age of a relay's contact with the store from which on it is pinged as in an outage: a relay renews
+/// its lease each 0.7 s, and one that has lost the store must be left early enough for another
 /// one's reply to arrive before this node's own contact has run out. Not measured.
 const STORE_QUIET: Duration = Duration::from_millis(1_100);
 /// Silence after which a relay is given up. Not measured.
@@ -47,16 +48,16 @@
 /// Which relays are followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Demand {
-    /// Those in touch with the store.
+    /// Those with contact to the store.
     InTouch,
-    /// Any, for a while: no relay is in touch with the store.
+    /// Any, for a while: no relay has contact with the store.
     Any,
 }
 
 /// Which relay is followed next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Next {
-    /// One of the own zone, which is in touch with the store.
+    /// One of the own zone, which has contact with the store.
     Nearer,
     /// The next best.
     Other,
@@ -362,7 +363,7 @@
             self.demand = Demand::InTouch;
         }
         let feed = &self.parts.feed;
-        // A node that the others don't know of isn't in touch with them.
+        // A node that the others don't list isn't waited for by a fence, so it has no contact by way of a relay.
         let is_listed = feed.lists(Subject::Nodes, &self.parts.own_key);
         if let Some(asked) = asked
             && self.is_whole()
--- a/crates/dyketally-gateway/src/store/feed/updates.rs
+++ b/crates/dyketally-gateway/src/store/feed/updates.rs
@@ -1,5 +1,5 @@
-//! Updates that this node receives and sends on: from whom, how much at a time, and what the log tells of
-//! each version of what operators write.
+//! Updates that this node receives and sends on: from whom, how much at a time, and the log lines on
+//! each version of what operators write. Relies on the copies.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/dyketally-gateway/src/store/feed/upstream.rs
+++ b/crates/dyketally-gateway/src/store/feed/upstream.rs
@@ -1,4 +1,5 @@
-//! Which relay passes the store's keys on to this node, if one does.
+//! Which relay passes the store's keys on to this node, if one does. Owns that and which relays are passed
+//! over; relies on nothing else of the feed.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -10,7 +11,7 @@
 use crate::fleet::passed_over::PassedOver;
 
 /// How long a node that lost its relay looks for another before it asks the store: time to try three
-/// relays that don't reply.
+/// relays that don't reply. Not measured.
 const SEARCH_LIMIT: Duration = Duration::from_millis(1_500);
 
 /// The relay that this node follows.
--- a/crates/dyketally-gateway/src/store/keys.rs
+++ b/crates/dyketally-gateway/src/store/keys.rs
@@ -1,5 +1,5 @@
 //! The keys that nodes keep in the store, and what lies under them. Nodes of other builds read them, so
-//! names and forms stay.
+//! names and forms stay. Owns nothing; relies on the record of a node.
 
 use bytes::Bytes;
 use dyketally::failover::FenceId;
--- a/crates/dyketally-gateway/src/store/liveness.rs
+++ b/crates/dyketally-gateway/src/store/liveness.rs
@@ -4,6 +4,8 @@
 //! In each zone the first relay watches over the other nodes, and the second one over the first. A
 //! node that is alone in its zone is watched over by one of another zone. If both relays of a zone
 //! are lost together their keys go with their leases.
+//!
+//! Owns when each node replied last; relies on heartbeats, which nodes send when asked.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/dyketally-gateway/src/store/metered_store.rs
+++ b/crates/dyketally-gateway/src/store/metered_store.rs
@@ -1,4 +1,6 @@
 //! Counts the calls that this process makes to the store, by kind: they are limited and may be priced.
+//!
+//! Owns nothing: the counters are shared. Relies on the client that it wraps.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/dyketally-gateway/src/store/parts.rs
+++ b/crates/dyketally-gateway/src/store/parts.rs
@@ -1,4 +1,4 @@
-//! What the tasks of this layer share.
+//! What the tasks of this layer share. Owns nothing.
 
 use std::rc::Rc;
 
--- a/crates/dyketally-gateway/src/store/registration.rs
+++ b/crates/dyketally-gateway/src/store/registration.rs
@@ -1,4 +1,7 @@
 //! Keeps this node's key in the store, under a lease, so that other nodes know that it runs.
+//!
+//! Owns the lease. Relies on the feed to know whether this node is listed and follows a relay, which decides
+//! how often the lease has to be renewed.
 
 use std::time::Duration;
 
--- a/crates/dyketally-gateway/src/store/unconfirmed.rs
+++ b/crates/dyketally-gateway/src/store/unconfirmed.rs
@@ -1,4 +1,6 @@
 //! Logs when it hasn't been confirmed for a while that this node's configuration is the newest one.
+//!
+//! Owns nothing; relies on the age of the configuration and on the feed for where it comes from.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/dyketally-gateway/src/store/watch/first_read.rs
+++ b/crates/dyketally-gateway/src/store/watch/first_read.rs
@@ -1,5 +1,5 @@
 //! What a node reads when it starts, with as few calls as possible. In a large fleet a relay has the
-//! rest.
+//! rest. Relies on the feed to know when a relay is found.
 
 use std::time::Duration;
 
--- a/crates/dyketally-gateway/src/store/watch/outage.rs
+++ b/crates/dyketally-gateway/src/store/watch/outage.rs
@@ -1,7 +1,7 @@
 //! How a watcher waits after the store has failed it.
 //!
 //! Renewals of leases are the cheapest calls, so only they ask a failing store again and again; watchers
-//! wait until one of them succeeds.
+//! wait until one of them succeeds. Owns the count of failures; relies on the health of the store.
 
 use std::time::Duration;
 
--- a/crates/dyketally-gateway/src/store/watch/pauses.rs
+++ b/crates/dyketally-gateway/src/store/watch/pauses.rs
@@ -1,5 +1,5 @@
 //! The pauses of a watch after changes, so that changes that come close together arrive with one call:
-//! the store limits the rate of calls.
+//! the store limits the rate of calls. Owns which keys there are and when the last change came.
 
 use std::collections::HashSet;
 use std::time::Duration;
--- a/crates/dyketally-gateway/src/store/watch/watched.rs
+++ b/crates/dyketally-gateway/src/store/watch/watched.rs
@@ -1,4 +1,4 @@
-//! What a node watches in the store, and how.
+//! What a node watches in the store, and how. Values only.
 
 use std::time::Duration;
 
--- a/crates/dyketally-gateway/src/succession/appointment.rs
+++ b/crates/dyketally-gateway/src/succession/appointment.rs
@@ -1,4 +1,7 @@
 //! Appoints a database as primary, with a fencing token that appointed no other one of its group.
+//!
+//! Relies on the coordinator's lease for tokens, on the adapter for the appointment, and on confirmations to
+//! see that the database leads.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/dyketally-gateway/src/succession/cause.rs
+++ b/crates/dyketally-gateway/src/succession/cause.rs
@@ -1,4 +1,5 @@
-//! Whether the primary of a group should be replaced, and why.
+//! Whether the primary of a group should be replaced, and why. Relies on what the databases announced, on the
+//! configuration, and on suspicions.
 
 use std::time::Duration;
 
@@ -151,7 +152,7 @@
             && self.moves.borrow().may_begin(group, self.cx.now())
     }
 
-    /// Searches for a primary, and tells that there is none if none is found in time.
+    /// Searches for a primary; a cause of its own if none is found in time.
     async fn without_primary(&self, group: &GroupName) -> Option<Cause> {
         let until = Instant::now() + NO_PRIMARY_GRACE;
         while Instant::now() < until {
--- a/crates/dyketally-gateway/src/succession/checks.rs
+++ b/crates/dyketally-gateway/src/succession/checks.rs
@@ -1,8 +1,9 @@
 //! Checks whether a database still leads its group.
 //!
-//! A node that is in touch with the store or most nodes receives the fence before a successor is
+//! A node in contact with the store or most nodes receives the fence before a successor is
 //! appointed. An isolated node asks the group's other databases after each answer of a leader, and counts
-//! it as one only if none of them leads.
+//! it as one only if none of them leads. [`LeadershipChecks`] owns the last check of each group; it relies on
+//! this node's contact and fences.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/dyketally-gateway/src/succession/confirm.rs
+++ b/crates/dyketally-gateway/src/succession/confirm.rs
@@ -2,6 +2,7 @@
 //!
 //! [`Confirmations`] owns which groups are being confirmed or searched. A confirmation also shows a
 //! position of the primary's log, by which the freshness of replicas is judged.
+//! Relies on [`LeadershipChecks`] for what an isolated node may believe.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/dyketally-gateway/src/succession/contact.rs
+++ b/crates/dyketally-gateway/src/succession/contact.rs
@@ -1,5 +1,6 @@
 //! Keeps this node in contact with most of the other nodes while the store doesn't reply: it then still
-//! receives the fence of a primary that is replaced.
+//! receives the fence of a primary that is replaced. Owns when it asked last; relies on the datagrams between
+//! nodes, and leaves the asking to a relay where it follows one.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/dyketally-gateway/src/succession/fence.rs
+++ b/crates/dyketally-gateway/src/succession/fence.rs
@@ -70,7 +70,7 @@
     round: FenceRound,
     /// Nodes that didn't confirm yet.
     silent: HashSet<SocketAddr>,
-    /// Silent nodes may be in touch with a majority by way of those that confirm. These have lately had a
+    /// Silent nodes may have contact with a majority by way of those that confirm. These have lately had a
     /// sign of life of one of them.
     heard: HashSet<SocketAddr>,
     published: Option<Rc<Published>>,
--- a/crates/dyketally-gateway/src/succession/grants.rs
+++ b/crates/dyketally-gateway/src/succession/grants.rs
@@ -3,7 +3,8 @@
 //!
 //! A node that is lost or cut off together with a primary has no grant half a second later, so a successor
 //! needn't wait until its contact with the store has ended. `dyketally::failover::Contact` calls the grant
-//! the short contact. Owns the questions that may yet be answered.
+//! the short contact. Owns the questions that may yet be answered; relies on the
+//! record of the coordinator and on the relay that this node follows.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
--- a/crates/dyketally-gateway/src/succession/handover.rs
+++ b/crates/dyketally-gateway/src/succession/handover.rs
@@ -1,4 +1,6 @@
 //! A planned handover: the old primary steps down, and a database that has its whole log succeeds it.
+//!
+//! Owns nothing; relies on surveys for the databases' logs and on `appointment` for the successor.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/dyketally-gateway/src/succession/own_statements.rs
+++ b/crates/dyketally-gateway/src/succession/own_statements.rs
@@ -1,5 +1,5 @@
 //! Statements that this node runs at databases on its own behalf: to learn their status, and whether they
-//! lead.
+//! lead. Owns nothing; relies on the fleet's access to databases.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/dyketally-gateway/src/succession/poll.rs
+++ b/crates/dyketally-gateway/src/succession/poll.rs
@@ -1,4 +1,5 @@
-//! Polls the nodes on a primary that is suspected, and judges it by their votes.
+//! Polls the nodes on a primary that is suspected, and judges it by their votes. Owns nothing; relies on
+//! [`judge`] for the rule.
 
 use std::time::Duration;
 
--- a/crates/dyketally-gateway/src/succession/replacement.rs
+++ b/crates/dyketally-gateway/src/succession/replacement.rs
@@ -1,5 +1,5 @@
 //! Replaces a primary: by a planned handover where it answers, else behind a fence around it; and the choice
-//! of the database that succeeds it.
+//! of the database that succeeds it. Owns nothing; relies on `fence`, `survey`, `handover` and `appointment`.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/dyketally-gateway/src/succession/survey.rs
+++ b/crates/dyketally-gateway/src/succession/survey.rs
@@ -1,4 +1,4 @@
-//! Asks the databases of a group for their status before one of them is appointed.
+//! Asks the databases of a group for their status before one of them is appointed. Owns nothing.
 
 use std::time::Duration;
 
--- a/crates/dyketally-gateway/src/succession/suspicion.rs
+++ b/crates/dyketally-gateway/src/succession/suspicion.rs
@@ -1,4 +1,7 @@
 //! Suspects primaries that fail this node, probes them, and reports them to the failover coordinator.
+//!
+//! The suspicions themselves are kept with the record of the coordinator. Relies on the fleet to reach the
+//! coordinator and for nodes that forward connections.
 
 use std::rc::Rc;
 use std::time::Duration;
