--- a/crates/dyketally-gateway/src/database/primary.rs
+++ b/crates/dyketally-gateway/src/database/primary.rs
@@ -1,6 +1,7 @@
 //! Which database leads a group as far as this node knows, and whether it can be used.
 
 use std::rc::{Rc, Weak};
+use std::time::Duration;
 
 use dyketally::directory::MemberState;
 use dyketally::eligibility::{Denial, Intent, ServingRegions};
@@ -84,15 +85,13 @@
         primary.is_some_and(|primary| primary.name() == database)
     }
 
-    /// Records that an attempt at `group` failed. True when the group has had no primary that this
-    /// node can use for so long that statements which need one should be refused.
-    pub fn primary_is_unavailable(&self, group: &GroupName) -> bool {
+    /// Time since the first of the attempts that found no usable primary of `group`; `None` while it has
+    /// one, zero before an attempt failed.
+    pub fn primary_missing_for(&self, group: &GroupName) -> Option<Duration> {
         let primary = self.primary_target(group, &ServingRegions::anywhere());
-        if primary.is_ok_and(|primary| !primary.state.is_suspended()) {
-            return false;
+        match primary.is_ok_and(|primary| !primary.state.is_suspended()) {
+            true => None,
+            false => Some(self.group(group).availability.missing_for()),
         }
-        let state = self.group(group);
-        state.availability.attempt_failed();
-        state.availability.is_unavailable()
     }
 }
--- a/crates/dyketally-gateway/src/fleet/peer/requests.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/requests.rs
@@ -93,22 +93,21 @@
             PeerMessage::LiftFence { database, id } => {
                 self.access.databases.lift_round(&database, id)
             }
-            PeerMessage::AreYouThere { round } => {
+            PeerMessage::SignOfLifeAsked { round } => {
                 self.asked_by.borrow_mut().insert(from, Instant::now());
                 let fenced = self.access.databases.standing_fences();
-                self.send(from, &PeerMessage::Here { round, fenced });
+                self.send(from, &PeerMessage::SignOfLife { round, fenced });
             }
-            PeerMessage::Here { round, fenced } => {
+            PeerMessage::SignOfLife { round, fenced } => {
                 self.access
                     .databases
                     .heard_of_fences(fenced, "a sign of life");
                 self.life_rounds.deliver(round, from);
             }
             PeerMessage::ContactAsked { round } => {
-                let told = requests.grant_reply(round);
-                self.send(from, &told);
+                self.send(from, &requests.grant_reply(round));
             }
-            PeerMessage::ContactTold {
+            PeerMessage::ContactReply {
                 round,
                 granted_ms,
                 majority_ms,
@@ -122,7 +121,7 @@
             PeerMessage::HeartbeatAsked => self.send(from, &PeerMessage::Heartbeat),
             PeerMessage::Heartbeat => {
                 if let Some(heartbeats) = self.heartbeats.borrow().as_ref() {
-                    // The process may be about to stop.
+                    // Fails only when the task that counts heartbeats has ended: the process stops.
                     let _ = heartbeats.send(from);
                 }
             }
@@ -149,7 +148,7 @@
             }
             PeerMessage::ReachReply { round } => self.reach_rounds.deliver(round, ()),
             PeerMessage::Ends { node } => self.access.fleet.membership.ended(&node),
-            PeerMessage::HasDuty { record } => {
+            PeerMessage::CoordinatorAnnounced { record } => {
                 self.access.fleet.coordinator.receive_announcement(record)
             }
             PeerMessage::Leads { database, .. } => {
--- a/crates/dyketally-gateway/src/lib.rs
+++ b/crates/dyketally-gateway/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod context;
 pub mod counters;
 pub mod database;
+pub mod decision;
 pub mod event;
 pub mod fleet;
 mod gateway;
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -24,7 +24,7 @@
 use self::listen::bind;
 use self::peer_requests::RequestHandler;
 use crate::event::Event;
-use crate::fleet::forwarding::{self, ServeFeed};
+use crate::fleet::listener::{self, ServeFeed};
 use crate::fleet::membership::NodeRecord;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
@@ -33,7 +33,6 @@
     PrimaryControl, ReadinessProtocol, SharedCallerProtocol, SharedDatabaseProtocol,
     StoredDocuments,
 };
-use crate::session;
 use crate::settings::Settings;
 use crate::store::feed::{self, ask_seeds};
 use crate::store::keys::Keys;
@@ -129,7 +128,7 @@
     let feed = gateway.feed.clone();
     let serve_feed: ServeFeed =
         Rc::new(move |stream| feed::serve(feed.clone(), stream).boxed_local());
-    tokio::task::spawn_local(forwarding::serve(
+    tokio::task::spawn_local(listener::serve(
         gateway.access.clone(),
         serve_feed,
         forwarded,
@@ -147,7 +146,7 @@
     tokio::task::spawn_local(tidy(gateway.clone()));
     tokio::task::spawn_local(log_unconfirmed(gateway.cx.clone(), gateway.feed.clone()));
     updates::watch_store(&gateway, &parts, &adapters.documents);
-    let accepting = tokio::task::spawn_local(session::serve_callers(gateway.clone(), callers));
+    let accepting = tokio::task::spawn_local(gateway.sessions.clone().serve_callers(callers));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
--- a/crates/dyketally-gateway/src/node/peer_requests.rs
+++ b/crates/dyketally-gateway/src/node/peer_requests.rs
@@ -40,6 +40,6 @@
     }
 
     fn account(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision> {
-        self.0.account(tenant, wanted, role)
+        self.0.quotas.account(tenant, wanted, role)
     }
 }
