--- a/crates/dyketally-lab/src/bench/mod.rs
+++ b/crates/dyketally-lab/src/testbed/mod.rs
@@ -1,11 +1,14 @@
-//! Orchestration of processes, workloads and histories, shared by the lab commands.
+//! The test bed: the processes of a site, their callers, and what these record, shared by the lab's
+//! commands.
+//!
+//! It owns the child processes and the files that they are started with; a process ends when its
+//! handle is dropped. It relies on the programs of the workspace being built beside the lab.
 
 mod admin;
 mod caller;
 mod client;
 mod database;
 mod documents;
-mod finale;
 mod group;
 mod operator;
 mod plan;
@@ -26,7 +29,6 @@
 pub use documents::{
     TEMPLATE_NAME, configuration_file, group_document, template_document, tenant_document,
 };
-pub use finale::record_final_rows;
 pub use group::{Group, Member};
 pub use operator::{CONFLICT, CommandResult, Operator};
 pub use plan::{CALLERS, DatabasePlan, PLATFORM, Plan, ProxyPlan, Routes};
