--- a/crates/dyketally-gateway/src/decision/admit.rs
+++ b/crates/dyketally-gateway/src/decision/admit.rs
@@ -10,7 +10,7 @@
 
 /// Share of the route's objective for which a statement waits in a queue that stands. Measured on
 /// rutaviva-prod, mean worth of 17 plays: a quarter 0.9114, an eighth 0.9197, 0.06 0.9194 (rounds m7, m9
-/// and m11 of `docs/load-and-faults.md`).
+/// and m11 of `docs/measurements/overload-and-faults.md`).
 pub const STANDING_QUEUE_SHARE: f64 = 0.125;
 /// The same in a queue that evens out a burst. Measured against an eighth: huber-teile trouble-1 0.892 to
 /// 0.899 and trouble-2 0.932 to 0.936, rutaviva-prod within noise (rounds m17 and e17).
