--- a/crates/dyketally-gateway/src/fleet/peer/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/mod.rs
@@ -53,7 +53,7 @@
 /// What one node replied to a fence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FenceReply {
-    /// Where the node hears others.
+    /// Where the node listens for others.
     pub from: SocketAddr,
     /// True when the database has answered it since the suspicion.
     pub contested: bool,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Nodes that may count this one among those they are in touch with.
+    /// Nodes that may count this one among those that replied to them lately.
     pub fn heard(&self) -> Vec<SocketAddr> {
         let mut asked_by = self.asked_by.borrow_mut();
         asked_by.retain(|_, at| at.elapsed() < SIGN_OF_LIFE_HOLDS);
