--- a/crates/dyketally-gateway/src/decision/admit.rs
+++ b/crates/dyketally-gateway/src/decision/admit.rs
@@ -1,6 +1,6 @@
 //! How long a statement waits behind others for a connection to a database.
 //!
-//! Where the queue has stood for a while, whoever joins it would be late: what is refused at once can
+//! Where the queue has stood for a while, a statement that joins it would be late: what is refused at once can
 //! come back in time. A queue that was empty a moment ago evens out a burst, and is worth waiting in.
 //! `dyketally::admission::Gate` tells the two apart.
 
--- a/crates/dyketally-gateway/src/decision/mod.rs
+++ b/crates/dyketally-gateway/src/decision/mod.rs
@@ -12,7 +12,7 @@
 //! | what is sent again, how often, after which pause | [`retry`] |
 //! | when a second database is asked beside the first | [`hedge`] |
 //! | when a statement is given up before its time is over | [`give_up`] |
-//! | what the caller is told of a statement without an answer | [`refuse`] |
+//! | what the caller receives for a statement without an answer | [`refuse`] |
 //! | what a refusal, or an answer, tells of the database | [`learn`] |
 //! | when a refused caller should come back | [`come_back`] |
 //!
--- a/crates/dyketally-gateway/src/decision/refuse.rs
+++ b/crates/dyketally-gateway/src/decision/refuse.rs
@@ -1,4 +1,4 @@
-//! What the caller is told of a statement that has no answer.
+//! What the caller receives for a statement that has no answer.
 //!
 //! That a statement has not run is said only with proof of it: every database and home that it was sent
 //! to has rejected it. `P` is that proof, and goes on into the refusal.
@@ -7,7 +7,7 @@
 
 use crate::decision::Reason;
 
-/// What the caller is told.
+/// What the caller receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told<P> {
     /// The statement has not run; the caller should come back.
@@ -23,7 +23,7 @@
     TimedOut,
 }
 
-/// What the caller is told of a single statement that was given up for `reason`, where the last attempt was
+/// What the caller receives for a single statement that was given up for `reason`, where the last attempt was
 /// refused for `refusal`.
 pub fn single<P>(reason: Reason, refusal: FailureKind, not_run: Option<P>) -> Told<P> {
     let refusal = match reason {
@@ -46,7 +46,7 @@
     DeadlinePassed,
 }
 
-/// What the caller is told of a commit that has no answer.
+/// What the caller receives for a commit that has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ToldOfCommit {
     /// The transaction is rolled back: it wrote nothing, or the commit has not run.
@@ -57,7 +57,7 @@
     TimedOut,
 }
 
-/// What the caller is told of a commit that was lost in a transaction that `wrote`, where `may_have_run`
+/// What the caller receives for a commit that was lost in a transaction that `wrote`, where `may_have_run`
 /// tells whether the commit may have run.
 pub fn commit(lost: LostCommit, wrote: bool, may_have_run: bool) -> ToldOfCommit {
     match lost {
--- a/crates/dyketally-gateway/src/decision/retry.rs
+++ b/crates/dyketally-gateway/src/decision/retry.rs
@@ -43,7 +43,7 @@
 pub enum AfterLoss {
     /// It is sent again.
     SendAgain,
-    /// It isn't, and the caller is told that it may have run.
+    /// It isn't, and the refusal says that it may have run.
     InDoubt,
 }
 
--- a/crates/dyketally-gateway/src/session/admission.rs
+++ b/crates/dyketally-gateway/src/session/admission.rs
@@ -20,7 +20,7 @@
 }
 
 impl Admission {
-    /// What a caller with `key` may use that asks for `database`; or what it is told instead.
+    /// What a caller with `key` may use that asks for `database`; or the refusal.
     pub(super) fn of(cx: &Context, database: &str, key: &ApiKey) -> Result<Self, Served> {
         let routes = cx.routes();
         let Some(route) = routes.routes.get(database) else {
--- a/crates/dyketally-gateway/src/session/operation.rs
+++ b/crates/dyketally-gateway/src/session/operation.rs
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    /// What the next operation may use; or what the caller is told instead.
+    /// What the next operation may use; or the refusal.
     pub(super) fn admit(&self) -> Result<Admission, Served> {
         Admission::of(&self.sessions.cx, &self.database, &self.key)
     }
--- a/crates/dyketally-gateway/src/statement/ending.rs
+++ b/crates/dyketally-gateway/src/statement/ending.rs
@@ -16,9 +16,9 @@
 use crate::statement::Statements;
 use crate::statement::request::{Request, Served};
 
-/// What a caller is told of a statement, and why.
+/// What a caller receives for a statement, and why.
 pub struct Decided {
-    /// What it is told.
+    /// The answer or refusal.
     pub served: Served,
     /// Why, for the log.
     pub reason: Reason,
@@ -151,7 +151,7 @@
 }
 
 impl Request {
-    /// What the caller is told when the statement is given up for `reason`, where the last attempt was
+    /// What the caller receives when the statement is given up for `reason`, where the last attempt was
     /// refused for `refusal`: that it hasn't run, but only if that is so.
     pub(super) fn given_up(&self, reason: Reason, refusal: FailureKind) -> Decided {
         let proof = self.dispatches.proven_not_run();
--- a/crates/dyketally-gateway/src/statement/mod.rs
+++ b/crates/dyketally-gateway/src/statement/mod.rs
@@ -3,7 +3,7 @@
 //! [`Statements`] serves single statements (`read`, `write`); a [`transaction`] is held by its session and
 //! served by the same part. Each collects what the rules in [`crate::decision`] ask for, and does as told:
 //! `choose` finds a database, `attempt` sends to it, `ending` tells why a statement ends and what its caller
-//! is told. [`dispatch`] keeps count of whether a statement may have run.
+//! receives. [`dispatch`] keeps count of whether a statement may have run.
 //!
 //! Owns no state but when the log reported last that nothing may serve a group. Relies on `database`,
 //! `fleet` for access to databases, and `succession` for who leads.
--- a/crates/dyketally-gateway/src/statement/read.rs
+++ b/crates/dyketally-gateway/src/statement/read.rs
@@ -81,7 +81,7 @@
             if let Some(reason) = over {
                 if reason == Reason::DeadlinePassed && request.dispatches.proven_not_run().is_some()
                 {
-                    // What still waits for a connection must not run once the caller is told so.
+                    // What still waits for a connection must not run once the caller receives that it has not.
                     running.iter().for_each(JoinHandle::abort);
                 }
                 return request.given_up(reason, refusal);
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -78,7 +78,7 @@
     pub dispatches: Dispatches,
 }
 
-/// What a caller is told of a statement.
+/// What a caller receives for a statement.
 #[derive(Clone, Debug)]
 pub struct Served {
     /// The rows.
@@ -230,7 +230,7 @@
         give_up::latest_start(self.deadline)
     }
 
-    /// Hands the statement to a connection as part of `batch`. Whoever judges the answers says
+    /// Hands the statement to a connection as part of `batch`. The caller of this says
     /// whether they reject it.
     ///
     /// # Errors
@@ -275,7 +275,7 @@
         self.attempts.set(self.attempts.get() + 1);
     }
 
-    /// Measures what the caller is told, and logs it if it isn't an ordinary success.
+    /// Measures the reply to the caller, and logs it if it isn't an ordinary success.
     pub fn log(&self, statements: &Statements, served: &Served, reason: Reason) {
         let elapsed = statements.cx.now().saturating_since(self.arrived);
         let failed = served.end.as_ref().err().map(|failure| failure.kind);
--- a/crates/dyketally-gateway/src/statement/transaction/mod.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/mod.rs
@@ -42,7 +42,7 @@
 
 /// The answer to a statement of a transaction.
 pub struct TransactionAnswer {
-    /// What the caller is told.
+    /// What the caller receives.
     pub served: Served,
     /// Why, for the log.
     pub reason: Reason,
