--- a/crates/dyketally-lab/src/testbed/process.rs
+++ b/crates/dyketally-lab/src/testbed/process.rs
@@ -167,11 +167,6 @@
 }
 
 impl ChildProcess {
-    /// The name it was started under.
-    pub fn name(&self) -> &str {
-        &self.name
-    }
-
     /// Its process id; none once it has ended.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
--- a/crates/dyketally-lab/src/testbed/topology.rs
+++ b/crates/dyketally-lab/src/testbed/topology.rs
@@ -46,7 +46,7 @@
     pub databases: Vec<ChildProcess>,
     /// The proxies, in the order of the plan.
     pub proxies: Vec<ChildProcess>,
-    platform: ChildProcess,
+    _platform: ChildProcess,
     network: Option<ChildProcess>,
 }
 
@@ -73,7 +73,7 @@
             launcher,
             databases: Vec::new(),
             proxies: Vec::new(),
-            platform,
+            _platform: platform,
             network,
         };
         topology.start_databases().await?;
@@ -179,11 +179,6 @@
         Ok(network::ControlClient::new(self.plan.network_control))
     }
 
-    /// The process of the platform's stand-ins.
-    pub fn platform(&self) -> &ChildProcess {
-        &self.platform
-    }
-
     /// Inserts rows straight into a group's primary.
     ///
     /// # Errors
--- a/crates/dyketally-proxy/src/home/statements.rs
+++ b/crates/dyketally-proxy/src/home/statements.rs
@@ -62,16 +62,6 @@
         self.uses
     }
 
-    /// Statements that the connection has.
-    pub fn len(&self) -> usize {
-        self.last_used.len()
-    }
-
-    /// True when the connection has no statement.
-    pub fn is_empty(&self) -> bool {
-        self.last_used.is_empty()
-    }
-
     fn least_recently_used(&self, batch_start: u64) -> Option<StatementName> {
         self.last_used
             .iter()
--- a/crates/dyketally/src/membership/mod.rs
+++ b/crates/dyketally/src/membership/mod.rs
@@ -27,6 +27,7 @@
 mod rings;
 mod rumors;
 mod schedule;
+mod send;
 mod suspicion;
 mod sync;
 mod table;
