--- a/crates/dyketally-proxy/src/node/mod.rs
+++ b/crates/dyketally-proxy/src/node/mod.rs
@@ -137,11 +137,6 @@
         self.addresses
     }
 
-    /// Membership as this node takes part in it.
-    pub fn membership(&self) -> &PeersHandle {
-        &self.membership
-    }
-
     fn spawn_listeners(&self, callers: TcpListener, peers: TcpListener, admin: TcpListener) {
         tokio::spawn(serve_callers(
             callers,
--- a/crates/dyketally/src/membership/member.rs
+++ b/crates/dyketally/src/membership/member.rs
@@ -5,7 +5,6 @@
 use serde::{Deserialize, Serialize};
 
 use crate::identifiers::{Locality, NodeName};
-use crate::placement::{Candidate, LinkClass};
 use crate::policy::Revision;
 
 /// Orders what is said about one node: a statement about a greater incarnation is newer.
@@ -124,16 +123,3 @@
     /// The configuration revision it had when this node last heard from it directly.
     pub revision: Revision,
 }
-
-impl Member {
-    /// The member as a candidate for placement; `None` unless it is live.
-    pub fn candidate(&self) -> Option<Candidate<'_>> {
-        self.state.is_live().then_some(Candidate {
-            node: &self.node,
-            locality: &self.locality,
-            weight: self.weight,
-            leaving: self.leaving,
-            link: LinkClass::default(),
-        })
-    }
-}
--- a/crates/dyketally/src/retry/budget.rs
+++ b/crates/dyketally/src/retry/budget.rs
@@ -38,9 +38,4 @@
         self.units = left;
         true
     }
-
-    /// Whole retries left.
-    pub fn left(&self) -> u64 {
-        self.units / UNITS_PER_RETRY
-    }
 }
--- a/crates/dyketally/src/session/token.rs
+++ b/crates/dyketally/src/session/token.rs
@@ -33,13 +33,6 @@
 const VERSION_TAG: &str = "v1";
 const LONGEST_QUOTED_TOKEN: usize = 80;
 
-impl SessionToken {
-    /// Raises the token to `position` if that is newer.
-    pub fn advance(&mut self, position: LogPosition) {
-        self.seen = self.seen.max(position);
-    }
-}
-
 impl fmt::Display for SessionToken {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let LogPosition { term, offset } = self.seen;
