--- a/crates/dyketally-gateway/src/database/target.rs
+++ b/crates/dyketally-gateway/src/database/target.rs
@@ -10,15 +10,7 @@
 use super::Databases;
 use super::health::DatabaseState;
 use super::pool::Pool;
-
-/// Latency to expect at a database of this node's zone, in milliseconds. These three only order databases
-/// that this node has no samples of yet: a statement takes about 20 ms at a database, and the network adds
-/// 3 ms between zones and about 40 ms between regions, there and back. Not measured.
-const SAME_ZONE_MS: f64 = 20.0;
-/// The same in another zone of this node's region.
-const SAME_REGION_MS: f64 = 23.0;
-/// The same in another region.
-const OTHER_REGION_MS: f64 = 55.0;
+use crate::decision::choose;
 
 /// A database that a statement may be sent to.
 #[derive(Clone)]
@@ -104,11 +96,7 @@
 
     /// The latency to expect of a statement at a member without load, in milliseconds.
     pub fn expected_latency_ms(&self, member: &Member) -> f64 {
-        match self.distance(member) {
-            Distance::SameZone => SAME_ZONE_MS,
-            Distance::SameRegion => SAME_REGION_MS,
-            Distance::OtherRegion => OTHER_REGION_MS,
-        }
+        choose::expected_latency_ms(self.distance(member))
     }
 
     /// Where a database runs, if it is known.
--- a/crates/dyketally-gateway/src/fleet/home.rs
+++ b/crates/dyketally-gateway/src/fleet/home.rs
@@ -13,7 +13,6 @@
 use tokio::time::Instant;
 
 use crate::database::batch::{Batch, Reset};
-use crate::database::claim::failure_kind;
 use crate::database::claim::{Claim, Refusal};
 use crate::database::connection::{Broken, leave_idle};
 use crate::database::target::Target;
@@ -22,7 +21,8 @@
 use crate::fleet::connection::DatabaseConnection;
 use crate::fleet::link::{Call, CallReply, Frames, frames};
 
-/// How long a call goes on whose link was closed, so that its connection can be kept.
+/// How long a call goes on whose link was closed, so that its connection can be kept. Not
+/// measured.
 const ABANDONED_LIMIT: Duration = Duration::from_millis(400);
 
 /// A connection that is kept for a link while a transaction is open on it. Dropping it drops the
@@ -66,6 +66,7 @@
     let mut bound = None;
     while let Some(Ok(message)) = frames.next().await {
         let Ok(call) = postcard::from_bytes::<Call<'_>>(&message) else {
+            // Closing the link tells the caller that nothing can be said of its call.
             return;
         };
         let _busy = Busy::begin(&access.fleet);
@@ -93,7 +94,7 @@
         // Nobody may send before the answer: whatever comes, the link is of no more use.
         _ = frames.next() => {}
     }
-    // What was left open is dropped by whoever holds it.
+    // What is still open afterwards is rolled back as `Bound` is dropped.
     let _ = tokio::time::timeout(ABANDONED_LIMIT, running).await;
     None
 }
@@ -163,10 +164,7 @@
 }
 
 fn denied(denial: Denial) -> CallReply {
-    CallReply::Refused(Refusal {
-        kind: failure_kind(denial),
-        unreachable: false,
-    })
+    CallReply::Refused(Refusal::denied(denial))
 }
 
 async fn bind(access: &Rc<DatabaseAccess>, call: &Call<'_>) -> Result<Bound, CallReply> {
--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -1,14 +1,12 @@
 //! The parts of the process, and what concerns several of them.
 
-use std::cell::RefCell;
-use std::collections::{BTreeSet, HashMap};
+use std::collections::BTreeSet;
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
 
-use dyketally::identifiers::{GroupName, RegionName};
+use dyketally::identifiers::RegionName;
 use dyketally::route_policy::RouteSet;
 use dyketally_store::key_value::StoreRevision;
-use tokio::time::Instant;
 
 use crate::context::Context;
 use crate::counters::StoreCalls;
@@ -22,6 +20,7 @@
 use crate::quota::Quotas;
 use crate::session::Sessions;
 use crate::settings::Settings;
+use crate::statement::Statements;
 use crate::store::feed::Feed;
 use crate::succession::Leadership;
 
@@ -29,8 +28,6 @@
 pub struct Gateway {
     /// What all parts share.
     pub cx: Rc<Context>,
-    /// The protocol of callers.
-    pub caller_protocol: SharedCallerProtocol,
     /// The databases.
     pub databases: Rc<Databases>,
     /// The other nodes.
@@ -42,11 +39,9 @@
     /// Who leads which group, and whether that can be relied on.
     pub leadership: Rc<Leadership>,
     /// Quotas of tenants.
-    pub quotas: Quotas,
-    /// Sessions that are open, and how many there may be.
-    pub sessions: Sessions,
-    /// When the log reported last that no database of a group may serve some statement.
-    pub unserved_logged: RefCell<HashMap<GroupName, Instant>>,
+    pub quotas: Rc<Quotas>,
+    /// Callers' sessions.
+    pub sessions: Rc<Sessions>,
 }
 
 impl Gateway {
@@ -58,26 +53,25 @@
         store_calls: Arc<StoreCalls>,
     ) -> Rc<Self> {
         let cx = Context::new(settings, store_calls);
-        let quotas = Quotas::new(cx.settings.bounds.quota_slack);
-        let sessions = Sessions::new(cx.settings.node.capacity());
         let directory = SharedDirectory::default();
         let fleet = Fleet::new(cx.clone(), directory.clone());
+        let quotas = Quotas::new(cx.clone(), fleet.clone());
         let connector = Connector::new(database_protocol, Rc::new(ThroughNodes));
         let databases = Databases::new(cx.clone(), directory, connector, fleet.clone());
         let feed = Feed::new(fleet.clone(), databases.clone());
         let access = DatabaseAccess::new(fleet.clone(), databases.clone());
         let leadership = Leadership::new(&access, &feed);
+        let statements = Statements::new(cx.clone(), access.clone(), leadership.clone());
+        let sessions = Sessions::new(cx.clone(), caller_protocol, statements, quotas.clone());
         let gateway = Rc::new(Self {
             databases,
             fleet,
             access,
             feed,
             cx,
-            caller_protocol,
             leadership,
             quotas,
             sessions,
-            unserved_logged: RefCell::default(),
         });
         let watch: Weak<Leadership> = Rc::downgrade(&gateway.leadership);
         gateway.databases.watched_by(watch);
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -6,6 +6,7 @@
 mod listen;
 mod metrics;
 mod nodes_handler;
+mod peer_requests;
 mod readiness;
 mod stop;
 mod updates;
@@ -21,8 +22,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use self::listen::bind;
+use self::peer_requests::RequestHandler;
 use crate::event::Event;
-use crate::fleet::forwarding::{self, ServeFeed};
+use crate::fleet::listener::{self, ServeFeed};
 use crate::fleet::membership::NodeRecord;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
@@ -31,7 +33,6 @@
     PrimaryControl, ReadinessProtocol, SharedCallerProtocol, SharedDatabaseProtocol,
     StoredDocuments,
 };
-use crate::session;
 use crate::settings::Settings;
 use crate::store::feed::{self, ask_seeds};
 use crate::store::keys::Keys;
@@ -92,7 +93,7 @@
     gateway.cx.events.write(&Event::Started {
         node: gateway.cx.settings.node.name.as_str(),
     });
-    let peers = Peers::new(gateway.clone(), socket);
+    let peers = Peers::new(gateway.access.clone(), socket);
     *gateway.fleet.peers.borrow_mut() = Some(peers.clone());
     let prefix = adapters.documents.own_prefix();
     let keys = Rc::new(Keys::new(prefix, own_record(&gateway)));
@@ -127,12 +128,13 @@
     let feed = gateway.feed.clone();
     let serve_feed: ServeFeed =
         Rc::new(move |stream| feed::serve(feed.clone(), stream).boxed_local());
-    tokio::task::spawn_local(forwarding::serve(
+    tokio::task::spawn_local(listener::serve(
         gateway.access.clone(),
         serve_feed,
         forwarded,
     ));
-    tokio::task::spawn_local(peers.clone().run());
+    let requests = Rc::new(RequestHandler(gateway.clone()));
+    tokio::task::spawn_local(peers.clone().run(requests));
     let contact = ContactKeeper::new(gateway.fleet.clone(), gateway.feed.clone(), peers.clone());
     tokio::task::spawn_local(contact.run());
     tokio::task::spawn_local(gateway.leadership.grants.clone().run(peers.clone()));
@@ -144,7 +146,7 @@
     tokio::task::spawn_local(tidy(gateway.clone()));
     tokio::task::spawn_local(log_unconfirmed(gateway.cx.clone(), gateway.feed.clone()));
     updates::watch_store(&gateway, &parts, &adapters.documents);
-    let accepting = tokio::task::spawn_local(session::serve_callers(gateway.clone(), callers));
+    let accepting = tokio::task::spawn_local(gateway.sessions.clone().serve_callers(callers));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
--- a/crates/dyketally-gateway/src/session/admission.rs
+++ b/crates/dyketally-gateway/src/session/admission.rs
@@ -7,7 +7,7 @@
 use dyketally::statement::FailureKind;
 use dyketally::tenant::{ApiKey, Tenant};
 
-use crate::gateway::Gateway;
+use crate::context::Context;
 use crate::statement::request::Served;
 
 /// What an operation may use, by the configuration in force as it began.
@@ -21,16 +21,16 @@
 
 impl Admission {
     /// What a caller with `key` may use that asks for `database`; or what it is told instead.
-    pub(super) fn of(gateway: &Gateway, database: &str, key: &ApiKey) -> Result<Self, Served> {
-        let routes = gateway.cx.routes();
+    pub(super) fn of(cx: &Context, database: &str, key: &ApiKey) -> Result<Self, Served> {
+        let routes = cx.routes();
         let Some(route) = routes.routes.get(database) else {
             return Err(Served::failed(
                 FailureKind::UnknownDatabase,
                 "no route leads to this database; check its name",
             ));
         };
-        if routes.needs_key(route) && !gateway.cx.keys_hold() {
-            gateway.cx.counters.keys_uncertain.add();
+        if routes.needs_key(route) && !cx.keys_hold() {
+            cx.counters.keys_uncertain.add();
             return Err(Served::key_uncertain());
         }
         match routes.identify(route, key) {
@@ -39,7 +39,7 @@
                 tenant,
             }),
             Err(unknown) => {
-                gateway.cx.counters.unknown_keys.add();
+                cx.counters.unknown_keys.add();
                 Err(Served::failed(
                     FailureKind::Unauthenticated,
                     &unknown.to_string(),
@@ -50,7 +50,7 @@
 
     /// True while a transaction that was admitted may go on. It goes on by the configuration that held
     /// as it began, but not while the node can't know whether its key still stands.
-    pub(super) fn holds(&self, gateway: &Gateway) -> bool {
-        self.tenant.is_none() || gateway.cx.keys_hold()
+    pub(super) fn holds(&self, cx: &Context) -> bool {
+        self.tenant.is_none() || cx.keys_hold()
     }
 }
--- a/crates/dyketally-gateway/src/session/caller.rs
+++ b/crates/dyketally-gateway/src/session/caller.rs
@@ -5,14 +5,14 @@
 
 use bytes::BytesMut;
 use dyketally::statement::{FailureKind, TransactionState};
+use dyketally::tenant::ApiKey;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::Session;
+use super::Sessions;
 use super::admission::Admission;
-use super::sessions::Buffered;
-use crate::gateway::Gateway;
+use super::room::Buffered;
 use crate::ports::{CallerMessage, Reply};
 use crate::statement::request::Served;
 
@@ -27,9 +27,17 @@
 /// Bytes reserved for each read.
 const READ_CHUNK: usize = 1_024;
 
+/// What a caller asks for as it connects.
+pub(super) struct Introduction {
+    /// The database.
+    pub(super) database: String,
+    /// What proves its tenant.
+    pub(super) key: ApiKey,
+}
+
 /// The connection of a caller.
 pub(super) struct Caller {
-    gateway: Rc<Gateway>,
+    sessions: Rc<Sessions>,
     stream: TcpStream,
     input: BytesMut,
     /// Its share of the input that this node keeps.
@@ -47,10 +55,10 @@
 
 impl Caller {
     /// A connection that was just accepted.
-    pub(super) fn new(gateway: Rc<Gateway>, stream: TcpStream) -> Self {
-        let buffered = Buffered::none(&gateway);
+    pub(super) fn new(sessions: Rc<Sessions>, stream: TcpStream) -> Self {
+        let buffered = Buffered::none(&sessions.room);
         Self {
-            gateway,
+            sessions,
             stream,
             input: BytesMut::new(),
             buffered,
@@ -58,16 +66,16 @@
     }
 
     /// Waits for the first message; `None` when no session comes of it.
-    pub(super) async fn introduce(&mut self) -> Option<Session> {
+    pub(super) async fn introduce(&mut self) -> Option<Introduction> {
         let message = tokio::time::timeout(INTRODUCTION_LIMIT, self.next_message()).await;
         let Next::Message(CallerMessage::Connect { database, key }) = message.ok()? else {
             return None;
         };
-        self.gateway
+        self.sessions
             .cx
             .configured_by(Instant::now() + CONFIGURATION_WAIT)
             .await;
-        if !self.gateway.cx.is_configured() {
+        if !self.sessions.cx.is_configured() {
             let served = Served::failed(
                 FailureKind::Overloaded,
                 "this node has no configuration yet; connect to another one, or again later",
@@ -75,7 +83,7 @@
             self.refuse(served).await;
             return None;
         }
-        if let Err(refused) = Admission::of(&self.gateway, &database, &key) {
+        if let Err(refused) = Admission::of(&self.sessions.cx, &database, &key) {
             self.refuse(refused).await;
             return None;
         }
@@ -84,7 +92,7 @@
             position: None,
         };
         self.write(&[ready]).await?;
-        Some(Session::new(&self.gateway, database, key))
+        Some(Introduction { database, key })
     }
 
     /// Waits for the first message for a moment, and tells the caller to go to another node.
@@ -110,7 +118,7 @@
     /// Waits for the next message.
     pub(super) async fn next_message(&mut self) -> Next {
         loop {
-            match self.gateway.caller_protocol.decode(&mut self.input) {
+            match self.sessions.protocol.decode(&mut self.input) {
                 Ok(Some(message)) => return Next::Message(message),
                 Ok(None) => {}
                 Err(error) => return Next::Garbage(error.to_string()),
@@ -130,7 +138,7 @@
     async fn write(&mut self, replies: &[Reply]) -> Option<()> {
         let mut output = BytesMut::new();
         for reply in replies {
-            self.gateway.caller_protocol.encode(reply, &mut output);
+            self.sessions.protocol.encode(reply, &mut output);
         }
         let writing = self.stream.write_all(&output);
         let written = tokio::time::timeout(WRITE_LIMIT, writing).await;
@@ -139,7 +147,7 @@
 
     /// Sends the answer to a statement; `None` when the caller is gone.
     pub(super) async fn answer(&mut self, served: Served, state: TransactionState) -> Option<()> {
-        let counters = &self.gateway.cx.counters;
+        let counters = &self.sessions.cx.counters;
         match served.end {
             Ok(_) => counters.served.add(),
             Err(_) => counters.failed.add(),
--- a/crates/dyketally-gateway/src/store/feed/subscriber.rs
+++ b/crates/dyketally-gateway/src/store/feed/subscriber.rs
@@ -1,4 +1,6 @@
 //! Follows relays on behalf of one node: one after the other, as long as there are any.
+//!
+//! Owns the choice of the next relay; relies on `relays` for the candidates and on `subscription` for one.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -13,8 +15,8 @@
 use super::subscription::{Demand, Ended, Next, Subscription, SubscriptionParts};
 use super::updates::UpdateHandler;
 use crate::event::Event;
-use crate::fleet::forwarding::{self, Opening};
 use crate::fleet::link::frames;
+use crate::fleet::opening::{self, Opening};
 use crate::store::parts::StoreParts;
 
 /// How long the store may take to show that it replies to this node. Not measured.
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Follows one relay after the other until none is left, a nearer one is in touch with the store, or
+    /// Follows one relay after the other until none is left, a nearer one has contact with the store, or
     /// this node turns to the store itself.
     async fn follow_all(&self, demand: Demand) -> Next {
         for relay in self.parts.feed.relays_to_follow() {
@@ -99,7 +101,7 @@
 
     /// Follows one relay until it is lost.
     async fn follow(&self, relay: SocketAddr, demand: Demand) -> Next {
-        let opening = forwarding::open(relay, &Opening::Feed);
+        let opening = opening::open(relay, &Opening::Feed);
         let connected = tokio::time::timeout(CONNECT_LIMIT, opening).await;
         let ended = match connected {
             Ok(Ok(stream)) => {
--- a/crates/dyketally-gateway/src/succession/coordinator.rs
+++ b/crates/dyketally-gateway/src/succession/coordinator.rs
@@ -124,7 +124,8 @@
             lease: Some(lease),
         });
         self.parts.cx.events.write(&Event::DutyTaken { token });
-        self.peers.broadcast(&PeerMessage::HasDuty { record });
+        self.peers
+            .broadcast(&PeerMessage::CoordinatorAnnounced { record });
         state.attention.notify_one();
     }
 
@@ -230,7 +231,7 @@
                     lease: Some(lease),
                 });
             }
-            Ok(_) => self.resign("the duty's key is gone"),
+            Ok(_) => self.resign("the coordinator's key is gone"),
             // Dropped: the check is repeated.
             Err(_) => self.try_again_later(),
         }
