--- a/crates/dyketally-gateway/src/counters.rs
+++ b/crates/dyketally-gateway/src/counters.rs
@@ -88,7 +88,7 @@
 }
 
 impl Counters {
-    /// Counts from zero; `store` is counted by whoever calls it.
+    /// Counts from zero; `store` is counted by the metered store.
     pub fn new(store: Arc<StoreCalls>) -> Self {
         Self {
             store,
--- a/crates/dyketally-gateway/src/event.rs
+++ b/crates/dyketally-gateway/src/event.rs
@@ -184,18 +184,18 @@
         /// What is followed there.
         prefix: &'a str,
     },
-    /// This node took over the duty of replacing primaries.
+    /// This node is the failover coordinator from now on: it replaces primaries.
     DutyTaken {
         /// Its fencing token.
         token: u64,
     },
-    /// This node no longer has the duty.
+    /// This node is the failover coordinator no longer.
     DutyLost {
         /// Why.
         reason: &'a str,
     },
-    /// This node has been in touch with neither the store nor enough nodes: it makes sure of each
-    /// primary's answers at the group's other databases.
+    /// Neither the store nor enough nodes have replied to this node lately, so it checks each primary's
+    /// answers at the group's other databases.
     Isolated,
     /// This node would hear again of primaries that are replaced.
     InTouch,
--- a/crates/dyketally-gateway/src/measures.rs
+++ b/crates/dyketally-gateway/src/measures.rs
@@ -133,7 +133,7 @@
         seconds.observe(elapsed.as_secs_f64());
     }
 
-    /// Takes in how long a statement spent in a stage.
+    /// Records how long a statement spent in a stage.
     pub fn spent(&self, stage: Stage, elapsed: Duration) {
         let seconds = self.stage_seconds.with_label_values(&[stage.name()]);
         seconds.observe(elapsed.as_secs_f64());
--- a/crates/dyketally-gateway/src/settings.rs
+++ b/crates/dyketally-gateway/src/settings.rs
@@ -11,9 +11,9 @@
 use dyketally::tenant::KeyPolicy;
 use serde::Deserialize;
 
-/// What `access.key_bound_ms` may be. Below the least a node in touch would refuse what it could
-/// serve: news take up to 1.2 s from the store by way of a relay, besides the pauses between two
-/// confirmations.
+/// What `access.key_bound_ms` may be. Below the least even a node that
+/// reaches the store would refuse what it could serve: a change takes up to 1.2 s from the store by way
+/// of a relay, besides the pauses between two confirmations.
 const KEY_BOUNDS_MS: RangeInclusive<u64> = 2_000..=86_400_000;
 
 /// What `node.link_mbps` may be, in megabits a second: beyond it a figure is in another unit.
@@ -21,7 +21,7 @@
 /// The least that `bounds.contact_ms` may be: below it nodes would ask the store without a pause.
 const CONTACT_AT_LEAST_MS: u64 = 500;
 
-/// Everything a process of the gateway is told at its start. Unknown fields are ignored, since
+/// All settings of a process of the gateway. Unknown fields are ignored, since
 /// the file may gain some.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
@@ -190,7 +190,7 @@
 pub struct BoundSettings {
     /// How long a leaving database may get new work, in milliseconds.
     pub drain_ms: u64,
-    /// How soon after an outage of the store a node has to act on news again, in milliseconds.
+    /// How soon after an outage of the store a node has to act on changes again, in milliseconds.
     #[serde(default = "contact_bound_ms")]
     pub contact_ms: u64,
     /// How long a process may take to stop, in seconds.
@@ -228,7 +228,7 @@
 }
 
 impl BoundSettings {
-    /// How soon after an outage of the store a node has to act on news again.
+    /// How soon after an outage of the store a node has to act on changes again.
     pub fn contact(&self) -> Duration {
         Duration::from_millis(self.contact_ms)
     }
