--- a/crates/dyketally-gateway/src/database/eligibility.rs
+++ b/crates/dyketally-gateway/src/database/eligibility.rs
@@ -1,5 +1,5 @@
 //! Asks the library's eligibility on behalf of all paths to databases: by what this node knows of the
-//! database, its zone and its group.
+//! database, its zone and its group. Asked as a database is chosen, and again just before each sending.
 
 use dyketally::directory::{Member, MemberState};
 use dyketally::eligibility::{Denial, EligibilityBounds, Intent, Permission, Standing, judge};
--- a/crates/dyketally-gateway/src/database/pool/mod.rs
+++ b/crates/dyketally-gateway/src/database/pool/mod.rs
@@ -1,4 +1,7 @@
 //! This node's connections to one database: opened on demand, handed out by priority.
+//!
+//! A gate limits what is in flight. A statement whose wait behind others would be longer than its patience
+//! is refused as it comes, see [`crate::decision::admit`].
 
 mod checkout;
 mod closing;
--- a/crates/dyketally-gateway/src/decision/mod.rs
+++ b/crates/dyketally-gateway/src/decision/mod.rs
@@ -17,7 +17,7 @@
 //! | when a refused caller should come back | [`come_back`] |
 //!
 //! This folder owns no state. It does no I/O and reads no clock; randomness is passed in. It relies on
-//! types of the library only.
+//! types of the library, and on `Instant` for deadlines.
 
 pub mod admit;
 pub mod choose;
--- a/crates/dyketally-gateway/src/fleet/access.rs
+++ b/crates/dyketally-gateway/src/fleet/access.rs
@@ -1,5 +1,6 @@
 //! Access to databases for the layers above: over a connection of this node's own pool, or one that a home
-//! keeps, and by way of another node while this one is cut off.
+//! keeps, and by way of another node while this one is cut off. [`super::homes`] says which of these; a home
+//! ([`super::home`]) asks for a permission of its own before it sends.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/dyketally-gateway/src/session/mod.rs
+++ b/crates/dyketally-gateway/src/session/mod.rs
@@ -1,6 +1,10 @@
 //! Callers' sessions: their connections, values, prepared statements and transactions, and the room that
 //! this node has for them.
 //!
+//! A message comes in through `caller`, `serving` answers it or passes a statement to `operation`, which has
+//! `admission` find its route and tenant, obtains a permit and serves it by the part `statement`. `room`
+//! counts sessions and the input that they keep.
+//!
 //! [`Sessions`] owns the room; each session owns what it keeps between statements. Relies on `statement` to
 //! serve, and on `quota` for permits.
 
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -1,4 +1,5 @@
-//! One statement of a session on its way through the statements.
+//! One statement of a session with all that is needed to serve it: its deadline, its patience, what it has
+//! to see. Asks for the permission to send it, and writes its line of the log.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
--- a/crates/dyketally-gateway/src/statement/transaction/commit.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/commit.rs
@@ -1,4 +1,4 @@
-//! Commits.
+//! The end of a transaction whose writes are kept, and what its caller receives if the `COMMIT` is lost.
 
 use std::rc::Rc;
 
