--- a/crates/dyketally-gateway/src/node/updates.rs
+++ b/crates/dyketally-gateway/src/node/updates.rs
@@ -18,9 +18,10 @@
 use crate::store::parts::StoreParts;
 use crate::store::watch::{FirstRead, Gathering, Watched, Watcher};
 
-/// Pause after databases changed before further changes are taken in, for each database.
+/// Pause behind a change of databases before the watch goes on, for each database: changes that come close
+/// together then come with one call. Not measured.
 const ANNOUNCEMENTS_GATHERING: Duration = Duration::from_millis(20);
-/// Pause after nodes came or went before further ones are taken in, for each node.
+/// The same behind a change of the nodes that run, for each node. Not measured.
 const NODES_GATHERING: Duration = Duration::from_millis(14);
 
 /// Starts to watch the store, and to follow relays instead where there are any; applies what it holds.
