--- a/crates/dyketally-gateway/src/database/availability.rs
+++ b/crates/dyketally-gateway/src/database/availability.rs
@@ -1,5 +1,5 @@
-//! Since when a group has had no primary that this node can use. How long statements wait for it is
-//! [`crate::decision::wait`]'s to say.
+//! Records since when a group has had no primary that this node can use. [`crate::decision::wait`] derives from
+//! it how long statements wait for one.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use crate::decision::wait;
 
-/// Since when a group has had no primary that this node can use.
+/// Since when a group has had no usable primary, from the attempts that found none.
 #[derive(Debug, Default)]
 pub struct PrimaryAvailability {
     loss: Cell<Option<Loss>>,
 }
 
-/// Attempts that found no primary, one soon after the other.
+/// A series of failed attempts, each of them soon after the one before.
 #[derive(Clone, Copy, Debug)]
 struct Loss {
     first: Instant,
@@ -22,14 +22,14 @@
 }
 
 impl Loss {
-    /// True while one more attempt belongs to it.
-    fn goes_on(&self) -> bool {
+    /// True while another failed attempt would belong to this loss rather than begin a new one.
+    fn is_ongoing(&self) -> bool {
         wait::is_same_loss(self.last.elapsed())
     }
 }
 
 impl PrimaryAvailability {
-    /// Records that an attempt found no primary that can be used.
+    /// Records that an attempt found no usable primary.
     pub fn attempt_failed(&self) {
         let last = Instant::now();
         let first = self.current().map_or(last, |loss| loss.first);
@@ -41,18 +41,18 @@
         self.loss.set(None);
     }
 
-    /// Until when a primary is waited for, by `latest` at the latest.
+    /// Until when a statement waits for a primary; never after `latest`.
     pub fn wait_until(&self, latest: Instant) -> Instant {
         (Instant::now() + wait::for_primary(self.missing_for())).min(latest)
     }
 
-    /// Time since the first of the attempts that found no primary; zero if there is none.
+    /// Time since the first attempt of the current loss; zero while no attempt has failed.
     pub fn missing_for(&self) -> Duration {
         self.current()
             .map_or(Duration::ZERO, |loss| loss.first.elapsed())
     }
 
     fn current(&self) -> Option<Loss> {
-        self.loss.get().filter(Loss::goes_on)
+        self.loss.get().filter(Loss::is_ongoing)
     }
 }
--- a/crates/dyketally-gateway/src/database/batch.rs
+++ b/crates/dyketally-gateway/src/database/batch.rs
@@ -1,6 +1,6 @@
-//! Batches: statements that are sent to a database together, on one connection of this node or of a home.
+//! Batches: statements that run together on one database connection, of this node or of a home.
 //!
-//! Calls between nodes carry them in postcard, which depends on the order of variants and fields.
+//! Nodes send batches to each other in postcard, which depends on the order of variants and fields.
 
 use std::collections::BTreeMap;
 
@@ -11,36 +11,36 @@
 
 use crate::ports::{DatabaseCommand, OwnStatement};
 
-/// What the connection must know of a session before its statements run.
+/// The session state that a connection must have before the session's statements run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionContext {
-    /// The session's values.
+    /// The session's settings, by name.
     pub values: BTreeMap<String, String>,
-    /// A statement that must be prepared.
+    /// The prepared statement that [`Step::Execute`] runs; `None` if the batch has no such step.
     pub prepared: Option<PreparedStatement>,
 }
 
 /// One statement of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
-    /// One of the gateway's own.
+    /// A statement of the gateway's own.
     Own(OwnStatement),
-    /// A caller's statement with its text unchanged, on a log that holds `after`.
+    /// A caller's statement, its text unchanged.
     Run {
-        /// The caller's name for the attempt.
+        /// The identifier that the caller gave the statement.
         id: Bytes,
-        /// The text.
+        /// The statement's text.
         text: Bytes,
-        /// The position that the log must hold.
+        /// The position that the database's log must hold; `None` where only the leader may run the statement.
         after: Option<LogPosition>,
     },
-    /// The context's prepared statement, on a log that holds `after`.
+    /// The prepared statement of the batch's [`SessionContext`].
     Execute {
-        /// The caller's name for the attempt.
+        /// The identifier that the caller gave the statement.
         id: Bytes,
         /// The caller's arguments.
         arguments: String,
-        /// The position that the log must hold.
+        /// The position that the database's log must hold; `None` where only the leader may run the statement.
         after: Option<LogPosition>,
     },
 }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The command, where `name` is the connection's name for the prepared statement.
+    /// The protocol command for this step; `name` is the connection's name for the prepared statement.
     pub fn command(&self, name: &str) -> DatabaseCommand {
         match self.clone() {
             Step::Own(statement) => DatabaseCommand::Own(statement),
@@ -78,54 +78,54 @@
     }
 }
 
-/// How the steps of a batch follow each other.
+/// Whether the steps of a batch are pipelined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Flow {
-    /// All in one flush; each runs whatever became of the others.
+    /// All steps are sent at once; each runs even if another one fails.
     Together,
-    /// One after the other, up to the first that fails.
+    /// Each step is sent after the answer to the one before; the batch ends at the first step that fails.
     UntilFailure,
 }
 
-/// When the connection's values are uncertain after a batch, so that it is reset before its next
-/// use.
+/// When a batch leaves the connection's session state uncertain, so that the connection is reset before its
+/// next use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reset {
-    /// Never.
+    /// The state stays certain.
     Never,
-    /// After a step that failed.
+    /// The state is uncertain if a step failed.
     AfterFailure,
-    /// In any case.
+    /// The state is always uncertain.
     Always,
 }
 
-/// Steps for one connection.
+/// Steps that run in order on one connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// What the connection must know; `None` when it doesn't matter.
+    /// The session state to establish first; `None` if the steps don't depend on it.
     pub context: Option<SessionContext>,
-    /// The steps.
+    /// The steps, in the order in which they run.
     pub steps: Vec<Step>,
-    /// How they follow each other.
+    /// Whether the steps are pipelined.
     pub flow: Flow,
-    /// When the connection is reset afterwards.
+    /// When the connection is reset before its next use.
     pub reset: Reset,
 }
 
 impl Batch {
-    /// Requests that count while the database is cold: all but those for a status and the steps of a
-    /// succession, which are few and can't wait.
+    /// Number of requests that count against a cold database's rate: all except status requests and the
+    /// commands of a primary's replacement, which are few and can't wait.
     pub fn requests(&self) -> u32 {
         let counted = self.steps.iter().filter(|step| !step.is_control());
         counted.count() as u32
     }
 
-    /// True when the batch has a caller's statement, which takes a slot of the database.
+    /// True when the batch contains a caller's statement, which takes a slot of the database.
     pub fn takes_slot(&self) -> bool {
         self.steps.iter().any(|step| !matches!(step, Step::Own(_)))
     }
 
-    /// Statements of the gateway's own, for which no session's context matters.
+    /// A batch of the gateway's own statements, which don't depend on session state.
     pub fn own(statements: impl IntoIterator<Item = OwnStatement>) -> Self {
         Self {
             context: None,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// True when the batch begins with what only a leading database may answer.
+    /// True when only the leader of the group may answer the first step.
     pub fn needs_leader(&self) -> bool {
         match self.steps.first() {
             Some(Step::Own(statement)) => *statement == OwnStatement::Begin,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Steps of a session.
+    /// A batch of a session's steps, run with the session's state.
     pub fn of(context: SessionContext, steps: Vec<Step>) -> Self {
         Self {
             context: Some(context),
--- a/crates/dyketally-gateway/src/database/checkout.rs
+++ b/crates/dyketally-gateway/src/database/checkout.rs
@@ -1,4 +1,4 @@
-//! Hands out connections of this node's own pools, and says why where there is none.
+//! Checks out connections from this node's own pools, and turns pool errors into refusals.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 use super::target::Target;
 
 impl Databases {
-    /// A connection of this node's own to `target`.
+    /// Checks out a connection to `target` from this node's pool.
     ///
     /// # Errors
-    /// Why there is none.
+    /// The reason why there is no connection.
     pub async fn checkout(
         &self,
         target: &Target,
@@ -47,22 +47,22 @@
         Refusal { kind, unreachable }
     }
 
-    /// Records that `target` can't be reached, and has it probed if it is a primary.
+    /// Records that `target` can't be reached, and starts a probe if it is a primary.
     pub fn unreachable(&self, target: &Target) {
         target.state.failed();
         self.suspect(target);
     }
 
-    /// Has `target` probed if it is a primary.
+    /// Starts a probe of `target` if it is a primary.
     pub fn suspect(&self, target: &Target) {
-        if let Some(watch) = self.watch() {
+        if let Some(watch) = self.primary_watch() {
             watch.suspect(target);
         }
     }
 
-    /// Has `target` reported as lost if it is a primary.
+    /// Reports `target` as lost if it is a primary.
     pub fn report_lost(&self, target: &Target) {
-        if let Some(watch) = self.watch().filter(|_| self.is_primary(target)) {
+        if let Some(watch) = self.primary_watch().filter(|_| self.is_primary(target)) {
             watch.report(target);
         }
     }
--- a/crates/dyketally-gateway/src/database/claim.rs
+++ b/crates/dyketally-gateway/src/database/claim.rs
@@ -1,4 +1,4 @@
-//! What a connection is wanted for, with which rank and patience, and why none was handed out.
+//! Requests for a connection: purpose, priority and time limits, and the reason of a refusal.
 
 use dyketally::admission::Patience;
 use dyketally::eligibility::{Denial, ServingRegions};
@@ -8,46 +8,46 @@
 
 use crate::ports::DatabaseUser;
 
-/// Rank and patience of a request for a connection.
+/// A request for a connection to a database.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// Rank under scarcity; 0 goes first.
+    /// Priority in the queue; lower numbers go first.
     pub priority: u32,
-    /// How long it may wait for a database to be reached.
+    /// Deadline for the connection, including the time to open one.
     pub until: Instant,
-    /// How long it may wait behind others.
+    /// Limits of the wait in the queue.
     pub patience: Patience,
-    /// What the connection is wanted for.
+    /// Purpose of the connection.
     pub work: Work,
-    /// In whose name the connection must be open; `None` where any will do, as for statements of the
-    /// gateway's own.
+    /// The user for whom the connection must be open; `None` if any user's connection will do, as for the
+    /// gateway's own statements.
     pub user: Option<DatabaseUser>,
-    /// Through which regions' nodes it may go.
+    /// The regions of the nodes through which the statements may pass.
     pub regions: ServingRegions,
 }
 
-/// What a connection is wanted for.
+/// Purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Work {
-    /// A database's status and the steps of a succession, which a cold database gets at any time.
+    /// Status requests and the commands of a primary's replacement, which are sent to a cold database at once.
     Control,
-    /// Single statements: the connection is free again once they are answered.
+    /// Single statements, which keep the connection until they are answered.
     Statements,
-    /// A transaction, which keeps the connection for as long as its caller likes.
+    /// A transaction, which keeps the connection until its caller ends it.
     Transaction,
 }
 
-/// Why no connection was handed out.
+/// Why a connection was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What the caller may be told.
+    /// The failure that is reported to the caller.
     pub kind: FailureKind,
-    /// True when the database can't be reached.
+    /// True when the database could not be reached.
     pub unreachable: bool,
 }
 
 impl Refusal {
-    /// A refusal for a reason that isn't the database's reachability.
+    /// The refusal for a denied statement; the database counts as reachable.
     pub fn denied(denial: Denial) -> Self {
         Self {
             kind: failure_kind(denial),
@@ -56,7 +56,7 @@
     }
 }
 
-/// What a caller's statement counts as when it was denied.
+/// The failure that is reported to the caller of a denied statement.
 pub fn failure_kind(denial: Denial) -> FailureKind {
     match denial {
         Denial::Cold => FailureKind::DatabaseCold,
--- a/crates/dyketally-gateway/src/database/connection/answer.rs
+++ b/crates/dyketally-gateway/src/database/connection/answer.rs
@@ -1,33 +1,33 @@
-//! What a database answers to one command.
+//! The complete answer of a database to one command.
 
 use bytes::Bytes;
 use dyketally::group::LogPosition;
 use dyketally::statement::{Failure, TransactionState};
 use serde::{Deserialize, Serialize};
 
-/// The whole answer to one command.
+/// The complete answer to one command.
 ///
-/// Homes pass it to other nodes in postcard, which depends on the order of the fields.
+/// Homes send it to other nodes in postcard, which depends on the order of the fields.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Answer {
-    /// The rows.
+    /// The rows of the result.
     pub rows: Vec<Bytes>,
-    /// The signature, or why it failed.
+    /// The signature with which the database completed the command, or the failure.
     pub end: Result<Bytes, Failure>,
-    /// The connection's state afterwards.
+    /// The connection's transaction state after the command.
     pub state: TransactionState,
-    /// The end of the database's log; `None` where the database doesn't report it.
+    /// The end of the database's log; `None` if the database didn't report it.
     pub position: Option<LogPosition>,
 }
 
 impl Answer {
-    /// True when the database said that it hasn't run the statement.
+    /// True when the database reported a failure that means it hasn't run the statement.
     pub fn was_rejected(&self) -> bool {
         matches!(&self.end, Err(failure) if failure.kind.not_run())
     }
 }
 
-/// True when no transaction is open behind `answers`.
+/// True when no transaction is open after the last of `answers`; false if there are none.
 pub fn leave_idle(answers: &[Answer]) -> bool {
     let last = answers.last();
     last.is_some_and(|answer| answer.state == TransactionState::Idle)
--- a/crates/dyketally-gateway/src/database/connection/connector.rs
+++ b/crates/dyketally-gateway/src/database/connection/connector.rs
@@ -1,4 +1,4 @@
-//! Opens connections to databases, directly or by way of another node.
+//! Opens connections to databases, directly or through another node.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,31 +12,31 @@
 use super::{Connection, OpenError};
 use crate::ports::{DatabaseUser, SharedDatabaseProtocol};
 
-/// How a database is reached.
+/// Route to a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// At its own address.
+    /// To the database's own address.
     Direct(SocketAddr),
-    /// By way of the node at this address, which forwards the connection.
+    /// Through the node at this address, which forwards the connection.
     Forwarded(SocketAddr),
 }
 
-/// Asks other nodes to forward connections to databases.
+/// Opens connections that another node forwards to a database.
 #[async_trait(?Send)]
 pub trait Forwarding {
-    /// Connects to `database` by way of `node`.
+    /// Connects to `database` through the node at address `node`.
     ///
     /// # Errors
     /// The node can't be reached.
     async fn connect(&self, node: SocketAddr, database: &DatabaseName) -> io::Result<TcpStream>;
 }
 
-/// The database that a connection must lead to.
+/// The database to which a connection must be open; the database checks it.
 #[derive(Clone, Copy, Debug)]
 pub struct Destination<'a> {
-    /// The group that it must belong to.
+    /// Group to which the database must belong.
     pub group: &'a GroupName,
-    /// Its name.
+    /// Name of the database.
     pub database: &'a DatabaseName,
 }
 
@@ -56,10 +56,10 @@
         })
     }
 
-    /// Connects in the name of `user`, for as long as the connection lives.
+    /// Opens a connection that stays in the name of `user`.
     ///
     /// # Errors
-    /// The database can't be reached within `limit`, or turns the connection away.
+    /// The database can't be reached within `limit`, or rejects the connection.
     pub async fn open(
         &self,
         route: Route,
--- a/crates/dyketally-gateway/src/database/connection/error.rs
+++ b/crates/dyketally-gateway/src/database/connection/error.rs
@@ -1,4 +1,4 @@
-//! Why a connection couldn't be opened, and why an exchange on one has no answer.
+//! Errors of opening a connection and of exchanging statements on it.
 
 use std::io;
 
@@ -7,19 +7,19 @@
 /// Why a connection could not be opened.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum OpenError {
-    /// Nothing listens there.
-    #[error("the database refuses connections; check that it runs")]
+    /// The address refused the connection, or the connection broke before the database accepted it.
+    #[error("the database refused the connection; check that it is running")]
     Refused,
-    /// Nothing came back in time.
-    #[error("the database doesn't answer; check that it can be reached")]
+    /// The database didn't answer within the time limit.
+    #[error("the database didn't answer within the time limit; check that it can be reached")]
     Silent,
-    /// The database turned the connection away.
-    #[error("the database turned the connection away: {}", .0.message)]
+    /// The database rejected the connection.
+    #[error("the database rejected the connection: {}", .0.message)]
     TurnedAway(Failure),
 }
 
 impl OpenError {
-    /// What an error of the transport says of the database.
+    /// Classifies an error of the transport.
     pub(super) fn of_transport(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::TimedOut | io::ErrorKind::HostUnreachable => Self::Silent,
@@ -28,24 +28,24 @@
     }
 }
 
-/// Why an exchange has no whole answer.
+/// The connection broke before all answers were complete.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("the connection broke: {reason}; the statement may have run")]
 pub struct Broken {
-    /// What the transport reported.
+    /// Cause, such as the transport's error.
     pub reason: String,
 }
 
 impl Broken {
-    /// A connection that broke for `reason`.
+    /// An error with the cause `reason`.
     pub fn new(reason: impl ToString) -> Self {
         Self {
             reason: reason.to_string(),
         }
     }
 
-    /// An answer that isn't valid, since its database was replaced before it arrived.
+    /// The error for an answer that is invalid because its database was replaced as primary before it arrived.
     pub fn replaced() -> Self {
-        Self::new("another database has taken the lead")
+        Self::new("another database became primary before the answer arrived")
     }
 }
--- a/crates/dyketally-gateway/src/database/connection/mod.rs
+++ b/crates/dyketally-gateway/src/database/connection/mod.rs
@@ -1,4 +1,4 @@
-//! One connection to a database: commands out, whole answers in.
+//! One connection to a database: sends commands and reads complete answers.
 
 mod answer;
 mod connector;
@@ -24,22 +24,22 @@
 use self::session_state::SessionState;
 pub use self::socket::{is_quiet, prepare_socket};
 
-/// Room for a read from a database, in bytes. Most answers are shorter; not measured.
+/// Buffer space reserved for each read from a database, in bytes. Most answers are shorter.
 const READ_CHUNK: usize = 4_096;
 
-/// A connection that is open to a database.
+/// An open connection to a database.
 pub struct Connection {
     stream: TcpStream,
     protocol: SharedDatabaseProtocol,
     user: DatabaseUser,
     input: BytesMut,
     session: SessionState,
-    /// Answers that the database hasn't sent yet. The caller may have stopped waiting for them.
-    owed: usize,
-    /// When it was last given back.
+    /// Commands without a complete answer, also those whose caller has stopped waiting.
+    unanswered: usize,
+    /// When the connection was last returned to its pool.
     pub idle_since: Instant,
-    /// When opening it began.
-    opened: Instant,
+    /// When opening the connection began.
+    opening_began: Instant,
 }
 
 impl Connection {
@@ -49,7 +49,7 @@
         to: Destination<'_>,
         user: DatabaseUser,
     ) -> Result<Self, OpenError> {
-        let opened = Instant::now();
+        let opening_began = Instant::now();
         let dialled = connector.dial(route, to).await;
         let stream = dialled.map_err(|error| OpenError::of_transport(&error))?;
         prepare_socket(&stream);
@@ -59,9 +59,9 @@
             user: user.clone(),
             input: BytesMut::new(),
             session: SessionState::default(),
-            owed: 0,
+            unanswered: 0,
             idle_since: Instant::now(),
-            opened,
+            opening_began,
         };
         let open = DatabaseCommand::Open {
             group: to.group.clone(),
@@ -82,19 +82,22 @@
         }
     }
 
-    /// Runs a batch: one answer to each step, up to the first that failed where the batch says so.
+    /// Runs a batch and returns one answer for each step. With [`Flow::UntilFailure`] the first failed step is the
+    /// last.
     ///
     /// # Errors
-    /// The connection broke, and any of the steps may have run; or it owes answers to statements that
-    /// were given up, and can't be used any more.
+    /// The connection broke, so that any of the steps may have run; or an earlier statement whose caller stopped
+    /// waiting is unanswered, so that the connection can't be used any more.
     pub async fn run(&mut self, batch: &Batch) -> Result<Vec<Answer>, Broken> {
-        if self.owed > 0 {
-            return Err(Broken::new("an earlier answer is still owed"));
+        if self.unanswered > 0 {
+            return Err(Broken::new(
+                "an earlier statement on it is still unanswered",
+            ));
         }
         let (adoption, name) = self.session.adopt(batch.context.as_ref());
         let answers = match batch.flow {
             Flow::Together => self.run_together(adoption, &batch.steps, &name).await?,
-            Flow::UntilFailure => self.run_in_turn(adoption, &batch.steps, &name).await?,
+            Flow::UntilFailure => self.run_sequentially(adoption, &batch.steps, &name).await?,
         };
         let failed = answers.iter().any(|answer| answer.end.is_err());
         self.session.reset_if(match batch.reset {
@@ -119,7 +122,7 @@
         Ok(answers.split_off(adopted))
     }
 
-    async fn run_in_turn(
+    async fn run_sequentially(
         &mut self,
         adoption: Vec<DatabaseCommand>,
         steps: &[Step],
@@ -139,12 +142,12 @@
     }
 
     async fn exchange(&mut self, commands: &[DatabaseCommand]) -> Result<Vec<Answer>, Broken> {
-        self.owed += commands.len();
+        self.unanswered += commands.len();
         self.send(commands).await.map_err(Broken::new)?;
         let mut answers = Vec::with_capacity(commands.len());
         for _ in commands {
-            answers.push(self.answer().await?);
-            self.owed -= 1;
+            answers.push(self.read_answer().await?);
+            self.unanswered -= 1;
         }
         Ok(answers)
     }
@@ -157,7 +160,7 @@
         self.stream.write_all(&output).await
     }
 
-    async fn answer(&mut self) -> Result<Answer, Broken> {
+    async fn read_answer(&mut self) -> Result<Answer, Broken> {
         let mut rows = Vec::new();
         let mut end = Err(Failure {
             kind: FailureKind::Other,
@@ -194,28 +197,28 @@
         }
     }
 
-    /// When opening it began.
-    pub fn opened(&self) -> Instant {
-        self.opened
+    /// When opening the connection began.
+    pub fn opening_began(&self) -> Instant {
+        self.opening_began
     }
 
-    /// True when the database closed it.
+    /// True when the database closed the connection.
     pub fn was_closed(&self) -> bool {
         socket::was_closed(&self.stream)
     }
 
-    /// In whose name it is open.
+    /// The user in whose name the connection is open.
     pub fn user(&self) -> &DatabaseUser {
         &self.user
     }
 
-    /// True when the connection was closed, owes answers, or has bytes that nobody asked for.
+    /// True when the connection was closed, has unanswered commands, or received bytes without a command.
     pub fn is_stale(&self) -> bool {
-        self.owed > 0 || !is_quiet(&self.stream) || !self.input.is_empty()
+        self.unanswered > 0 || !is_quiet(&self.stream) || !self.input.is_empty()
     }
 
-    /// How much has to be sent before a session with `values` can use it: 0 for nothing.
-    pub fn distance(&self, values: &BTreeMap<String, String>) -> u32 {
-        self.session.distance(values)
+    /// Relative cost of giving the connection the session settings `values`; 0 if no command is needed.
+    pub fn adoption_cost(&self, values: &BTreeMap<String, String>) -> u32 {
+        self.session.adoption_cost(values)
     }
 }
--- a/crates/dyketally-gateway/src/database/connection/session_state.rs
+++ b/crates/dyketally-gateway/src/database/connection/session_state.rs
@@ -1,8 +1,8 @@
-//! What a database holds for one connection: the values and prepared statements of the session that
-//! used it last.
+//! The session state that a database holds for one connection: settings and prepared statements, left by the
+//! session that used the connection last.
 //!
-//! Connections are shared by sessions, so before a session's statements run the connection is brought
-//! to the session's context, with as few commands as possible.
+//! Sessions share connections. Before a session's statements run, the connection is therefore given the
+//! session's context, with as few commands as possible.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,40 +12,42 @@
 use crate::database::batch::SessionContext;
 use crate::ports::{DatabaseCommand, OwnStatement};
 
-/// Prepared statements that one connection keeps; one more resets it, which bounds what the database
-/// holds for it. Not measured.
-const PREPARED_AT_MOST: usize = 64;
+/// Maximum number of prepared statements of one connection. At this number the next context resets the
+/// connection, which bounds the memory that the database uses for it.
+const MAX_PREPARED: usize = 64;
 
-/// The values and prepared statements that a connection has at its database.
+/// The settings and prepared statements that a connection has at its database.
 #[derive(Debug, Default)]
 pub(super) struct SessionState {
     values: BTreeMap<String, String>,
-    /// The connection's names for its prepared statements.
+    /// Names of the prepared statements on this connection.
     prepared: HashMap<PreparedStatement, String>,
-    /// True when the database may hold something else than what is noted here.
+    /// True when the state at the database may differ from this record.
     must_reset: bool,
 }
 
 impl SessionState {
-    /// Has the connection reset before its next use.
+    /// Has the connection reset before its next use if its state is uncertain.
     pub(super) fn reset_if(&mut self, is_uncertain: bool) {
         self.must_reset |= is_uncertain;
     }
 
-    /// How much has to be sent before a session with `values` can use the connection: 0 for nothing.
-    pub(super) fn distance(&self, values: &BTreeMap<String, String>) -> u32 {
+    /// Relative cost of giving the connection the settings `values`: 0 if no command is needed, 1 if settings must
+    /// be sent, 2 if the connection must be reset first.
+    pub(super) fn adoption_cost(&self, values: &BTreeMap<String, String>) -> u32 {
         if self.must_reset || !self.extends_to(values) {
             return 2;
         }
         u32::from(&self.values != values)
     }
 
+    /// True when `values` sets every setting that the connection has, so that no reset is needed.
     fn extends_to(&self, values: &BTreeMap<String, String>) -> bool {
         self.values.keys().all(|name| values.contains_key(name))
     }
 
-    /// The commands that bring the connection to `context`, which must be sent before anything
-    /// else, and its name for the prepared statement.
+    /// The commands that give the connection the state of `context`, and its name for the prepared statement. The
+    /// commands must be sent before any other, since this record assumes that they ran.
     pub(super) fn adopt(
         &mut self,
         context: Option<&SessionContext>,
@@ -54,7 +56,7 @@
         let Some(SessionContext { values, prepared }) = context else {
             return (commands, String::new());
         };
-        let full = self.prepared.len() >= PREPARED_AT_MOST;
+        let full = self.prepared.len() >= MAX_PREPARED;
         if self.must_reset || full || !self.extends_to(values) {
             commands.push(DatabaseCommand::Own(OwnStatement::Reset));
             *self = Self::default();
@@ -90,8 +92,8 @@
         name
     }
 
-    /// Checks the answers to `adopted` commands of [`SessionState::adopt`] and the statements behind
-    /// them: a connection that isn't as was believed is reset before its next use.
+    /// Checks `answers`, of which the first `adopted` belong to the commands of [`SessionState::adopt`]. If one of
+    /// those failed or a prepared statement was unknown, the connection is reset before its next use.
     pub(super) fn check_adoption(&mut self, answers: &[Answer], adopted: usize) {
         let (adoption, steps) = answers.split_at(adopted.min(answers.len()));
         let failed = adoption.iter().any(|answer| answer.end.is_err());
--- a/crates/dyketally-gateway/src/database/directory_changes.rs
+++ b/crates/dyketally-gateway/src/database/directory_changes.rs
@@ -1,4 +1,4 @@
-//! Keeps the directory: what follows when databases appear, change, leave and are gone.
+//! Acts on changes of the directory: databases that appear, change their role, leave or are forgotten.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 use super::Databases;
 use crate::event::Event;
 
-/// Heartbeats within which a database that runs announces itself again: one, and room for a late one.
-/// Not measured.
-const HEARTBEATS_GRACE: f64 = 1.4;
-/// How long a database that is gone is remembered, so that one which comes back soon keeps its pool and
-/// its health. Not measured.
-const GONE_REMEMBERED: Duration = Duration::from_secs(30);
+/// Time within which a running database announces itself again, as a multiple of the heartbeat interval: one
+/// interval, and a margin for a late heartbeat.
+const GRACE_HEARTBEATS: f64 = 1.4;
+/// How long a database that is gone is kept in memory, so that one which returns within this time keeps its
+/// pool and its health.
+const GONE_RETENTION: Duration = Duration::from_secs(30);
 
 impl Databases {
-    /// Acts on changes of the directory.
+    /// Logs `changes` of the directory and acts on them.
     pub fn directory_changed(&self, changes: Vec<DirectoryChange>) {
         self.forget_pacers(&changes);
         for change in changes {
@@ -38,7 +38,7 @@
     }
 
     pub(super) fn look_at_primaries(&self) {
-        if let Some(watch) = self.watch() {
+        if let Some(watch) = self.primary_watch() {
             watch.look_at_primaries();
         }
     }
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Reaches all databases directly again: nodes that forward connections were found while no region
-    /// was ruled out.
+    /// Stops forwarding connections through other nodes. Call it once serving regions are configured: the
+    /// forwarding nodes were found while connections could pass through any region.
     pub fn reach_all_directly(&self) {
         for database in self.states.borrow().values() {
             if database.pool.is_forwarded() {
@@ -60,33 +60,33 @@
         }
     }
 
-    /// Records that the directory was read as a whole.
+    /// Records that the complete directory was read now.
     pub fn listed_now(&self) {
-        self.listed.set(Some(Instant::now()));
+        self.directory_listed_at.set(Some(Instant::now()));
     }
 
-    /// True once the directory was read as a whole.
+    /// True once the complete directory has been read.
     pub fn is_listed(&self) -> bool {
-        self.listed.get().is_some()
+        self.directory_listed_at.get().is_some()
     }
 
-    /// True once every database that runs has had time to announce itself since the directory was
-    /// read: what is missing from it then is really missing.
+    /// True once every running database has had time to announce itself since the complete directory was
+    /// read. A database that is missing from then on isn't running.
     pub fn directory_is_settled(&self) -> bool {
-        let listed = self.listed.get();
-        listed.is_some_and(|at| at.elapsed() >= self.announcement_grace())
+        let listed_at = self.directory_listed_at.get();
+        listed_at.is_some_and(|at| at.elapsed() >= self.announcement_grace())
     }
 
-    /// How long a database that runs may be missing from the directory.
+    /// How long a running database may be missing from the directory.
     fn announcement_grace(&self) -> Duration {
         let heartbeat = self.cx.settings.bounds.heartbeat();
-        heartbeat.mul_f64(HEARTBEATS_GRACE)
+        heartbeat.mul_f64(GRACE_HEARTBEATS)
     }
 
-    /// Removes databases that stay unlisted, once they have had time to announce themselves.
+    /// Spawns a task that removes unlisted databases which haven't announced themselves within the grace period.
     pub fn settle_unlisted_later(self: &Rc<Self>) {
         let oldest = self.directory.borrow().oldest_unlisted();
-        if oldest.is_none() || self.settling.replace(true) {
+        if oldest.is_none() || self.removing_unlisted.replace(true) {
             return;
         }
         let databases = self.clone();
@@ -105,13 +105,13 @@
                     databases.directory_changed(changes);
                 }
             }
-            databases.settling.set(false);
+            databases.removing_unlisted.set(false);
         });
     }
 
-    /// Forgets databases that are long gone, and closes connections that have been idle for long.
+    /// Forgets databases that have been gone for [`GONE_RETENTION`], and closes connections idle past their limit.
     pub fn tidy(&self) {
-        let long_ago = self.cx.now() - GONE_REMEMBERED;
+        let long_ago = self.cx.now() - GONE_RETENTION;
         let forgotten = self.directory.borrow_mut().forget_gone_before(long_ago);
         if !forgotten.is_empty() {
             self.directory_changed(forgotten);
--- a/crates/dyketally-gateway/src/database/eligibility.rs
+++ b/crates/dyketally-gateway/src/database/eligibility.rs
@@ -1,5 +1,6 @@
-//! Asks the library's eligibility on behalf of all paths to databases: by what this node knows of the
-//! database, its zone and its group. Asked as a database is chosen, and again just before each sending.
+//! Checks whether a statement may be sent to a database, from this node's current knowledge of the database,
+//! its zone and its group; the rules are in [`dyketally::eligibility`]. The check runs when a database is chosen
+//! and again immediately before each send.
 
 use dyketally::directory::{Member, MemberState};
 use dyketally::eligibility::{Denial, EligibilityBounds, Intent, Permission, Standing, judge};
@@ -9,23 +10,23 @@
 use super::target::Target;
 
 impl Databases {
-    /// Leave to send what `intent` tells to `target`, by what is known now.
+    /// Permission to send a batch of `intent` to `target` now.
     ///
     /// # Errors
-    /// Why it may not be sent; counted.
+    /// The reason why the batch may not be sent, which is also counted.
     pub fn may_send(&self, target: &Target, intent: &Intent) -> Result<Permission, Denial> {
         let directory = self.directory.borrow();
-        let judged = match directory.member(&target.name) {
+        let result = match directory.member(&target.name) {
             Some(member) => self.judge(member, intent),
             None => Err(Denial::Leaving),
         };
-        judged.inspect_err(|denial| self.cx.counters.denied.add(denial.kind(), 1))
+        result.inspect_err(|denial| self.cx.counters.denied.add(denial.kind(), 1))
     }
 
-    /// Whether what `intent` tells may be sent to `member`.
+    /// Checks whether a batch of `intent` may be sent to `member`.
     ///
     /// # Errors
-    /// Why it may not.
+    /// The reason why it may not be sent.
     pub fn judge(&self, member: &Member, intent: &Intent) -> Result<Permission, Denial> {
         let now = self.cx.now();
         let announcement = &member.announcement;
@@ -48,8 +49,8 @@
         judge(intent, standing, self.eligibility_bounds())
     }
 
-    /// Why nothing that `intent` tells can run at any database of `group` before the configuration,
-    /// the evacuated zones or the primary change; `None` while something can.
+    /// The lasting reason why statements of `intent` can't run at any database of `group`: it holds until the
+    /// configuration, the evacuated zones or the primary change. `None` if such statements can run now or soon.
     pub fn denied_for_good(&self, group: &GroupName, intent: &Intent) -> Option<Denial> {
         if intent.needs_leader {
             let denial = self.primary_target(group, &intent.regions).err();
@@ -67,18 +68,19 @@
         lasting
     }
 
+    /// True when `member` is ready and its zone isn't evacuated.
     pub(super) fn may_serve(&self, member: &Member) -> bool {
         member.state == MemberState::Ready && !self.is_evacuated(&member.announcement.zone)
     }
 
-    /// True when a database of `group` other than `database` could take over from it.
+    /// True when another database of `group` could take over from `database`.
     pub fn has_successor(&self, group: &GroupName, database: &DatabaseName) -> bool {
         let directory = self.directory.borrow();
         let mut members = directory.members(group);
         members.any(|member| member.name() != database && self.may_serve(member))
     }
 
-    /// True when a warm database of `group` other than `database` could take over from it.
+    /// True when another database of `group` that is warm could take over from `database`.
     pub fn has_warm_successor(&self, group: &GroupName, database: &DatabaseName) -> bool {
         let directory = self.directory.borrow();
         let mut members = directory.members(group);
--- a/crates/dyketally-gateway/src/database/evacuation.rs
+++ b/crates/dyketally-gateway/src/database/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones that operators evacuate: their databases get no new work, and idle connections to them are
+//! Zones that operators evacuate: their databases get no new statements, and idle connections to them are
 //! closed.
 
 use std::collections::BTreeSet;
@@ -11,19 +11,19 @@
 use crate::event::Event;
 
 impl Databases {
-    /// Replaces the evacuations by all those that operators request.
+    /// Replaces the set of evacuated zones by `zones`.
     pub fn evacuations_are(&self, zones: &BTreeSet<ZoneName>) {
         let changes = self.evacuations.borrow_mut().replaced(zones);
         self.evacuations_changed(changes);
     }
 
-    /// Records that operators request the evacuation of a zone.
+    /// Records that an operator requested the evacuation of `zone`.
     pub fn evacuation_requested(&self, zone: ZoneName) {
         let change = self.evacuations.borrow_mut().requested(self.cx.now(), zone);
         self.evacuations_changed(change);
     }
 
-    /// Records that a zone is used again.
+    /// Records that an operator cancelled the evacuation of `zone`.
     pub fn evacuation_taken_back(&self, zone: &ZoneName) {
         let change = self.evacuations.borrow_mut().taken_back(zone);
         self.evacuations_changed(change);
@@ -78,7 +78,7 @@
             let Some(member) = member.filter(in_zone) else {
                 continue;
             };
-            // A primary serves on until another one leads.
+            // A primary keeps its connections, since it serves until another database leads.
             let primary = directory.primary(&member.announcement.group);
             if primary.is_none_or(|primary| primary.name() != name) {
                 database.pool.close_idle(true);
--- a/crates/dyketally-gateway/src/database/group.rs
+++ b/crates/dyketally-gateway/src/database/group.rs
@@ -1,5 +1,5 @@
-//! What this node observed of a group of databases: positions that its primary showed, how far its
-//! replicas are behind, and whether it has a primary that can be used.
+//! What this node observed of each group of databases: the log positions of its primary, the lag of its
+//! replicas, and whether it has a usable primary.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,28 +14,28 @@
 use super::Databases;
 use super::availability::PrimaryAvailability;
 
-/// Observations are kept for at least this long, also where no route bounds the age of reads: the lag of
-/// replicas is estimated by them. Not measured.
-const OBSERVED_AT_LEAST: Duration = Duration::from_secs(1);
+/// Minimum time for which observations are kept. It applies also where no route bounds the age of reads,
+/// since the replication lag is estimated from observations.
+const MIN_OBSERVATION_RETENTION: Duration = Duration::from_secs(1);
 
-/// What is known of a group beyond its databases.
+/// What this node observed of one group.
 pub struct GroupState {
-    /// Positions that its primary showed.
+    /// Log positions of the group's primary, with the times at which they were observed.
     pub observations: RefCell<Observations>,
-    /// Notified after each observation and each failed attempt to make one.
+    /// Notified after each observation and after each failed attempt to make one.
     pub observed: Notify,
-    /// Whether it has a primary that this node can use.
+    /// Since when the group has had no primary that this node can use.
     pub availability: PrimaryAvailability,
 }
 
 impl Databases {
-    /// The group's state.
+    /// The state of a group, created if it is missing.
     pub fn group(&self, name: &GroupName) -> Rc<GroupState> {
         if let Some(group) = self.groups.borrow().get(name) {
             return group.clone();
         }
         let group = Rc::new(GroupState {
-            observations: RefCell::new(Observations::new(self.observed_for(name))),
+            observations: RefCell::new(Observations::new(self.observation_retention(name))),
             observed: Notify::new(),
             availability: PrimaryAvailability::default(),
         });
@@ -43,21 +43,21 @@
         group
     }
 
-    /// Keeps observations of all groups for as long as the routes in force need them.
+    /// Sets how long observations of each group are kept, from the routes in force.
     pub fn keep_observations(&self) {
         for (name, group) in self.groups.borrow().iter() {
             let mut observations = group.observations.borrow_mut();
-            observations.keep_for(self.observed_for(name));
+            observations.keep_for(self.observation_retention(name));
         }
     }
 
-    fn observed_for(&self, name: &GroupName) -> Duration {
+    fn observation_retention(&self, name: &GroupName) -> Duration {
         let bound = self.cx.routes().longest_bound(name);
-        bound.max(OBSERVED_AT_LEAST)
+        bound.max(MIN_OBSERVATION_RETENTION)
     }
 
-    /// Records what a leading database showed in reply to a statement sent at `sent`. That it led must
-    /// be sure.
+    /// Records the log position with which the primary of `group` answered a statement sent at `sent`. Call it
+    /// only when that database certainly led the group.
     pub fn observe(&self, group: &GroupName, position: Option<LogPosition>, sent: Timestamp) {
         let Some(position) = position else {
             return;
@@ -72,8 +72,8 @@
         group.observed.notify_waiters();
     }
 
-    /// For how long the primary of `group` has been known to hold `position`; zero for a position
-    /// that has yet to be asked for.
+    /// Time since which the primary of `group` has been known to hold `position`; zero if `position` is
+    /// `None`, as it is before it was requested from the primary.
     pub fn age_of(&self, group: &GroupName, position: Option<LogPosition>) -> Duration {
         let state = self.group(group);
         let observations = state.observations.borrow();
@@ -82,7 +82,7 @@
         })
     }
 
-    /// Records that a replica of `group` held, or lacked, `position`.
+    /// Updates the lag estimate with a replica of `group` that held or lacked `position`.
     pub fn replica_showed(&self, group: &GroupName, position: LogPosition, held: bool) {
         let age = self.age_of(group, Some(position));
         let mut lag = self.replica_lag.get();
--- a/crates/dyketally-gateway/src/database/health.rs
+++ b/crates/dyketally-gateway/src/database/health.rs
@@ -1,4 +1,4 @@
-//! What this node knows of one database from its own traffic.
+//! Health of one database, as observed from this node's own traffic: latency, failures and lag.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,136 +11,136 @@
 
 use crate::database::pool::Pool;
 
-/// Weight of a new sample in the average latency, from 0 to 1: some seven samples make up most of it, so
-/// that a single slow statement doesn't turn reads away. Not measured.
+/// Weight of a new sample in the average latency, from 0 to 1. The last seven samples or so make up most of
+/// the average, so that a single slow statement doesn't move reads to another database.
 const SAMPLE_WEIGHT: f64 = 0.15;
-/// Time in which the average latency loses half of its distance to the expected one, so that a database
-/// which was slow is tried again without a sample. Not measured.
+/// Half-life with which the average latency returns to the expected one while no samples arrive, so that a
+/// database that was slow gets reads again.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
-/// How long a database that failed is passed over by reads: about as long as replacing a primary takes,
-/// 0.4 to 0.8 s. Not measured.
-const SUSPENSION: Duration = Duration::from_millis(700);
-/// How long a replica that was behind is passed over by reads that need more than it had; twice as
-/// long each time that it still is. The first step is short where a node sees a group once in 400 ms.
-/// Not measured.
-const BEHIND: Backoff = Backoff {
+/// How long reads exclude a database after a failure: about as long as replacing a primary takes, 0.4 to
+/// 0.8 s.
+const FAILURE_EXCLUSION: Duration = Duration::from_millis(700);
+/// How long a replica that lacked a position is excluded from reads that need that position or a later one;
+/// doubles each time that it still lacks it. The first delay is short, since a node may observe a group's
+/// position only once in 400 ms.
+const BEHIND_EXCLUSION: Backoff = Backoff {
     first: Duration::from_millis(60),
     longest: Duration::from_millis(1_000),
 };
 
-/// A database as this node uses it.
+/// This node's connections to one database, and the health that it observed.
 pub struct DatabaseState {
-    /// Connections to it.
+    /// Connections to the database.
     pub pool: Rc<Pool>,
-    /// Statements sent to it and not answered.
+    /// Statements sent to the database and not yet answered.
     pub in_flight: Cell<u32>,
-    /// True while a probe of it runs.
+    /// True while a probe of the database runs.
     pub probed: Cell<bool>,
     latency_ms: Cell<f64>,
-    sampled: Cell<Instant>,
-    answered: Cell<Option<Instant>>,
+    sampled_at: Cell<Instant>,
+    answered_at: Cell<Option<Instant>>,
     evidence: Cell<Option<(Evidence, Instant)>>,
-    suspended: Cell<Option<Instant>>,
+    failed_at: Cell<Option<Instant>>,
     behind: Cell<Option<Behind>>,
 }
 
-/// What a replica lacked when it was last asked for it.
+/// The position that a replica lacked when a read last needed it.
 #[derive(Clone, Copy)]
 struct Behind {
     needed: LogPosition,
     at: Instant,
-    /// How often in a row it was behind, counted once each time that it was asked again.
-    times: u32,
+    /// Consecutive reads that found the replica behind; reads during an exclusion don't count.
+    count: u32,
 }
 
 impl Behind {
-    fn is_held(&self) -> bool {
-        self.at.elapsed() < BEHIND.longest_delay(self.times)
+    fn is_excluded(&self) -> bool {
+        self.at.elapsed() < BEHIND_EXCLUSION.longest_delay(self.count)
     }
 }
 
 impl DatabaseState {
-    /// A database that nothing is known of but the latency to expect.
+    /// A database without observations; `expected_ms` is its latency without load, in milliseconds.
     pub fn new(pool: Rc<Pool>, expected_ms: f64) -> Rc<Self> {
         Rc::new(Self {
             pool,
             in_flight: Cell::new(0),
             probed: Cell::new(false),
             latency_ms: Cell::new(expected_ms),
-            sampled: Cell::new(Instant::now()),
-            answered: Cell::new(None),
+            sampled_at: Cell::new(Instant::now()),
+            answered_at: Cell::new(None),
             evidence: Cell::new(None),
-            suspended: Cell::new(None),
+            failed_at: Cell::new(None),
             behind: Cell::new(None),
         })
     }
 
-    /// Records that a statement was answered.
+    /// Records that a statement was answered after `elapsed`.
     pub fn answered(&self, elapsed: Duration) {
         let sample = elapsed.as_secs_f64() * 1_000.0;
         let average = self.latency_ms.get();
         self.latency_ms
             .set(average + SAMPLE_WEIGHT * (sample - average));
-        self.sampled.set(Instant::now());
-        self.answered.set(Some(Instant::now()));
-        self.suspended.set(None);
+        self.sampled_at.set(Instant::now());
+        self.answered_at.set(Some(Instant::now()));
+        self.failed_at.set(None);
     }
 
-    /// Records that it could not be reached or broke a connection.
+    /// Records that the database could not be reached or that a connection to it broke.
     pub fn failed(&self) {
-        self.suspended.set(Some(Instant::now()));
+        self.failed_at.set(Some(Instant::now()));
     }
 
-    /// Records that its log lacked `needed`.
+    /// Records that the database's log lacked `needed`.
     pub fn was_behind(&self, needed: LogPosition) {
-        let times = match self.behind.get() {
-            Some(behind) if behind.is_held() => behind.times,
-            Some(behind) => behind.times + 1,
+        let count = match self.behind.get() {
+            Some(behind) if behind.is_excluded() => behind.count,
+            Some(behind) => behind.count + 1,
             None => 1,
         };
         let at = Instant::now();
-        self.behind.set(Some(Behind { needed, at, times }));
+        self.behind.set(Some(Behind { needed, at, count }));
     }
 
-    /// Records that its log held what a read needed.
+    /// Records that the database's log held the position that a read needed.
     pub fn was_fresh(&self) {
         self.behind.set(None);
     }
 
-    /// True when reads should go elsewhere if they can.
+    /// True when the database failed recently, so that reads should prefer others.
     pub fn is_suspended(&self) -> bool {
-        self.suspended
+        self.failed_at
             .get()
-            .is_some_and(|at| at.elapsed() < SUSPENSION)
+            .is_some_and(|at| at.elapsed() < FAILURE_EXCLUSION)
     }
 
-    /// True when its log probably still lacks `needed`.
+    /// True when the database's log probably still lacks `needed`.
     pub fn is_behind(&self, needed: LogPosition) -> bool {
         let behind = self.behind.get();
-        behind.is_some_and(|behind| behind.needed <= needed && behind.is_held())
+        behind.is_some_and(|behind| behind.needed <= needed && behind.is_excluded())
     }
 
-    /// True when it answered since `time`.
+    /// True when the database has answered a statement since `time`.
     pub fn answered_since(&self, time: Instant) -> bool {
-        self.answered.get().is_some_and(|at| at >= time)
+        self.answered_at.get().is_some_and(|at| at >= time)
     }
 
-    /// Records what a probe found.
+    /// Records the result of a probe.
     pub fn probed_as(&self, evidence: Evidence) {
         self.evidence.set(Some((evidence, Instant::now())));
     }
 
-    /// What a probe within `age` found, if it failed and nothing was answered since.
+    /// The result of the last probe, if it failed less than `age` ago and no statement was answered since.
     pub fn recent_failure(&self, age: Duration) -> Option<Evidence> {
         let (evidence, at) = self.evidence.get()?;
         let failed = evidence != Evidence::Answered && !self.answered_since(at);
         (failed && at.elapsed() < age).then_some(evidence)
     }
 
-    /// The latency to expect of one more statement, in milliseconds; `expected_ms` is what it is
-    /// without load, and the least that is assumed.
+    /// Estimated latency of one more statement, in milliseconds. `expected_ms` is the latency without load,
+    /// below which the estimate never falls.
     pub fn latency_estimate(&self, expected_ms: f64, slots: u32) -> f64 {
-        let idle = self.sampled.get().elapsed().as_secs_f64();
+        let idle = self.sampled_at.get().elapsed().as_secs_f64();
         let decay = 0.5_f64.powf(idle / LATENCY_HALF_LIFE.as_secs_f64());
         let average = expected_ms + (self.latency_ms.get() - expected_ms) * decay;
         let average = average.max(expected_ms);
@@ -149,13 +149,13 @@
     }
 }
 
-/// Counts a statement as in flight until it is dropped.
+/// Guard that counts one statement as in flight until it is dropped.
 pub struct InFlight {
     state: Rc<DatabaseState>,
 }
 
 impl InFlight {
-    /// Counts one more.
+    /// Counts one more statement in flight.
     pub fn begin(state: &Rc<DatabaseState>) -> Self {
         state.in_flight.set(state.in_flight.get() + 1);
         Self {
--- a/crates/dyketally-gateway/src/database/mod.rs
+++ b/crates/dyketally-gateway/src/database/mod.rs
@@ -1,13 +1,12 @@
-//! Databases as this node knows and uses them.
+//! This node's view of the databases, and its connections to them.
 //!
-//! Owns the directory of databases that announce themselves, their connections and health, the zones
-//! that are evacuated, the fences that stand here, the pace at which cold databases are loaded, and what
-//! was observed of each group. Answers which database a statement may be sent to, and hands out
-//! connections.
+//! Owns the directory of announced databases, the connection pools, the health of each database, the evacuated
+//! zones, the fences in force at this node, the rate limits for cold databases, and the observed positions and
+//! lag of each group. Decides which database a statement may be sent to and checks out connections.
 //!
-//! Relies on the context and the protocol of databases. Asks the fleet for this node's shares of
-//! connections ([`ConnectionShares`]) and to forward connections ([`Forwarding`](connection::Forwarding)),
-//! and succession to watch primaries ([`PrimaryWatch`]).
+//! Depends on the context and the database protocol. Through traits it uses the fleet, for this node's shares
+//! of connections ([`ConnectionShares`]) and for forwarded connections
+//! ([`Forwarding`](connection::Forwarding)), and succession, which watches primaries ([`PrimaryWatch`]).
 
 pub mod availability;
 pub mod batch;
@@ -47,39 +46,39 @@
 use self::shares::ConnectionShares;
 use crate::context::Context;
 
-/// The databases that announce themselves, shared with the parts that place work by them.
+/// The directory of announced databases, shared with the fleet, which assigns connections to nodes by it.
 pub type SharedDirectory = Rc<RefCell<Directory>>;
 
-/// The databases as this node knows and uses them.
+/// The databases that this node knows, with its connections to them and what it observed of them.
 pub struct Databases {
     cx: Rc<Context>,
-    /// Opens connections to them.
+    /// Opens connections to databases.
     pub connector: Rc<Connector>,
-    /// Those that announce themselves.
+    /// Databases that announce themselves.
     pub directory: SharedDirectory,
-    /// Those that this node uses.
+    /// Pool and health of each database that this node has used.
     pub states: RefCell<HashMap<DatabaseName, Rc<DatabaseState>>>,
-    /// How far replicas usually are behind.
+    /// Estimated replication lag, over the replicas of all groups.
     pub replica_lag: Cell<LagEstimate>,
     shares: Rc<dyn ConnectionShares>,
-    watch: RefCell<Option<Weak<dyn PrimaryWatch>>>,
-    /// Zones whose databases get nothing more.
+    primary_watch: RefCell<Option<Weak<dyn PrimaryWatch>>>,
+    /// Evacuated zones, whose databases get no new statements.
     evacuations: RefCell<Evacuations>,
-    /// Databases that are being replaced.
+    /// Fences around databases that are being replaced as primaries.
     fences: RefCell<Fences>,
-    /// How databases may be loaded that have just started.
+    /// Rate limits of databases while they are cold.
     pacers: RefCell<HashMap<DatabaseName, Rc<Pacer>>>,
     groups: RefCell<HashMap<GroupName, Rc<GroupState>>>,
-    /// When the directory was last read as a whole.
-    listed: Cell<Option<Instant>>,
-    /// True while a task waits for unlisted databases.
-    settling: Cell<bool>,
-    /// True while a task is about to apply the shares of connections.
-    sharing_soon: Cell<bool>,
+    /// When the complete directory was last read from the store; `None` before the first time.
+    directory_listed_at: Cell<Option<Instant>>,
+    /// True while a task waits to remove databases that the last complete read of the directory lacked.
+    removing_unlisted: Cell<bool>,
+    /// True while a spawned task is about to apply the shares of connections.
+    shares_pending: Cell<bool>,
 }
 
 impl Databases {
-    /// The databases of `directory`; none is used yet.
+    /// Starts with the databases of `directory` and without connections.
     pub fn new(
         cx: Rc<Context>,
         directory: SharedDirectory,
@@ -93,14 +92,14 @@
             states: RefCell::default(),
             replica_lag: Cell::default(),
             shares,
-            watch: RefCell::default(),
+            primary_watch: RefCell::default(),
             evacuations: RefCell::default(),
             fences: RefCell::default(),
             pacers: RefCell::default(),
             groups: RefCell::default(),
-            listed: Cell::new(None),
-            settling: Cell::new(false),
-            sharing_soon: Cell::new(false),
+            directory_listed_at: Cell::new(None),
+            removing_unlisted: Cell::new(false),
+            shares_pending: Cell::new(false),
         })
     }
 }
--- a/crates/dyketally-gateway/src/database/pacer.rs
+++ b/crates/dyketally-gateway/src/database/pacer.rs
@@ -1,5 +1,5 @@
-//! How fast this node may load one database: as fast as it takes it while it is warm, at this node's
-//! part of its rate while it may be cold; see [`dyketally::slow_start`].
+//! Limits the rate at which this node sends to one database while the database may be cold, to this node's share
+//! of the database's rate; a warm database has no such limit. See [`dyketally::slow_start`].
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,57 +13,58 @@
 
 use crate::context::contact::NodeContact;
 
-/// Requests of a batch as a rule: a statement of its own, or one of those that a read at a primary is
-/// framed by. Only the expected wait depends on it. Not measured.
-const USUAL_BATCH: u32 = 2;
-/// Longest time that a batch waits for its turn once it has a connection. It was given the connection
-/// when its turn was near, so a longer wait means that another node got a part of the rate meanwhile. Not measured.
+/// Requests assumed of each waiting batch when the wait in the queue is estimated: a batch is usually a single
+/// statement or a few, since a read at a primary is sent with statements around it.
+const TYPICAL_BATCH_REQUESTS: u32 = 2;
+/// Longest time for which a batch that has a connection waits until the cold database's rate admits it. A
+/// connection is given out only shortly before that, so a longer wait means that another node got a
+/// share of the rate meanwhile.
 pub const LONGEST_TURN: Duration = Duration::from_secs(1);
 
-/// Slows down what this node sends to one database while that may be cold.
+/// Limits the rate of this node's requests to one database while the database may be cold.
 pub struct Pacer {
     throttle: RefCell<Throttle>,
     contact: Rc<NodeContact>,
     started: Instant,
-    /// Batches that were given a connection and aren't sent yet.
+    /// Batches that have a connection and haven't been sent yet.
     reserved: Cell<u32>,
     sent: Cell<u64>,
     refused: Cell<u64>,
 }
 
-/// How a database stands whose group has a slow start.
+/// Status of a database whose group has a slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PacerStatus {
-    /// True while it may be cold.
+    /// True while the database may be cold.
     pub cold: bool,
-    /// True while this node sends to it when it is cold.
+    /// True while this node is one of those that may send to the database when it is cold.
     pub holder: bool,
-    /// Time between two requests of this node.
+    /// Minimum time between two requests of this node while the database is cold.
     pub interval: Duration,
-    /// Requests that this node sent to it while it was cold.
+    /// Requests that this node sent to the database while it was cold.
     pub sent: u64,
-    /// Statements that this node turned away meanwhile.
+    /// Statements that this node refused because the database was cold.
     pub refused: u64,
 }
 
-/// Counts a batch as one that will be sent until it is dropped.
-pub struct Reserved(Rc<Pacer>);
+/// Guard that counts a batch as about to be sent until it is dropped.
+pub struct BatchReservation(Rc<Pacer>);
 
-impl Reserved {
+impl BatchReservation {
     fn take(pacer: &Rc<Pacer>) -> Self {
         pacer.reserved.set(pacer.reserved.get() + 1);
         Self(pacer.clone())
     }
 }
 
-impl Drop for Reserved {
+impl Drop for BatchReservation {
     fn drop(&mut self) {
         self.0.reserved.set(self.0.reserved.get() - 1);
     }
 }
 
 impl Pacer {
-    /// A pacer that knows nothing yet; times are counted from `started`.
+    /// A pacer without a rule or announcements; its timestamps count from `started`.
     pub fn new(contact: Rc<NodeContact>, started: Instant) -> Rc<Self> {
         Rc::new(Self {
             throttle: RefCell::default(),
@@ -84,51 +85,51 @@
         Timestamp::from_micros(elapsed.as_micros() as u64)
     }
 
-    /// Applies how the database's group starts.
+    /// Sets the slow start of the database's group; `None` if its databases are never cold.
     pub fn set_rule(&self, rule: Option<SlowStart>, margin: Margin) {
         self.throttle.borrow_mut().set_rule(rule, margin);
     }
 
-    /// Applies whether this node sends to it while it is cold, by the list of nodes.
-    pub fn hold(&self, holds: bool) {
+    /// Sets whether this node is one of those that may send to the database while it is cold.
+    pub fn set_holder(&self, holds: bool) {
         self.throttle.borrow_mut().hold(self.now(), holds);
     }
 
-    /// Records an announcement by which the database is cold for `cold_for`.
-    pub fn announced(&self, cold_for: Duration) {
+    /// Records that the database announced itself as cold for another `cold_for`.
+    pub fn record_announcement(&self, cold_for: Duration) {
         let now = self.now();
         self.throttle.borrow_mut().warmth().announced(now, cold_for);
     }
 
-    /// Records that the database may start again from now on.
-    pub fn may_have_restarted(&self) {
+    /// Records that the database may have restarted, or may restart, without this node's knowledge.
+    pub fn record_possible_restart(&self) {
         self.throttle.borrow_mut().warmth().doubted(self.now());
     }
 
-    /// Records that it answered on a connection that was opened at `opened`.
+    /// Records that the database answered on a connection whose opening began at `opened`.
     pub fn answered(&self, opened: Instant) {
         let (now, opened) = (self.now(), self.at(opened));
         self.throttle.borrow_mut().warmth().answered(now, opened);
     }
 
-    /// Records that it answered another node.
+    /// Records that the database answered another node.
     pub fn ran(&self) {
         self.throttle.borrow_mut().warmth().ran(self.now());
     }
 
-    /// Whether this node may send to it now.
+    /// Whether, and after which wait, this node may send to the database.
     pub fn pace(&self) -> Pace {
         let now = self.now();
         let heard = self.contact.heard_store(now);
         self.throttle.borrow_mut().pace(now, heard)
     }
 
-    /// True while it may be cold.
+    /// True while the database may be cold.
     pub fn is_cold(&self) -> bool {
         self.pace() != Pace::Free
     }
 
-    /// How much longer it is cold by its own announcement.
+    /// Remaining time for which the database announced itself as cold; zero where its group has no slow start.
     pub fn announced_cold_for(&self) -> Duration {
         let throttle = self.throttle.borrow();
         match throttle.is_limited() {
@@ -137,12 +138,12 @@
         }
     }
 
-    /// Share of its reads that it should get, from 0 to 1.
+    /// Fraction of its usual reads that the database should get, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.throttle.borrow().share(self.now())
     }
 
-    /// How it stands; `None` where its group has no slow start.
+    /// The status; `None` if the database's group has no slow start.
     pub fn status(&self) -> Option<PacerStatus> {
         let cold = self.is_cold();
         let throttle = self.throttle.borrow();
@@ -155,7 +156,7 @@
         })
     }
 
-    /// True when a batch may be given a connection.
+    /// True when the rate admits another batch, so that it may be given a connection.
     pub fn admits(&self) -> bool {
         match self.pace() {
             Pace::Free => true,
@@ -164,38 +165,38 @@
         }
     }
 
-    /// Counts a batch that was given a connection; `None` while the database is warm.
-    pub fn reserve(self: &Rc<Self>) -> Option<Reserved> {
-        self.is_cold().then(|| Reserved::take(self))
+    /// Reserves the next request for a batch that was given a connection; `None` while the database is warm.
+    pub fn reserve(self: &Rc<Self>) -> Option<BatchReservation> {
+        self.is_cold().then(|| BatchReservation::take(self))
     }
 
-    /// How long a batch would wait with `ahead` others before it; nothing while the database is warm.
+    /// Estimated wait of a batch with `ahead` others before it; zero while the database is warm.
     ///
     /// # Errors
-    /// This node sends nothing to it.
+    /// The database is cold and this node may not send to it.
     pub fn expected_wait(&self, ahead: usize) -> Result<Duration, Denial> {
         match self.pace() {
             Pace::Free => Ok(Duration::ZERO),
             Pace::After(wait) => {
                 let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
                 let before = ahead.saturating_add(self.reserved.get());
-                let each = self.throttle.borrow().interval() * USUAL_BATCH;
+                let each = self.throttle.borrow().interval() * TYPICAL_BATCH_REQUESTS;
                 Ok(wait.saturating_add(each.saturating_mul(before)))
             }
             Pace::Elsewhere | Pace::Unsettled => Err(Denial::Cold),
         }
     }
 
-    /// Records that a statement was turned away.
-    pub fn refused(&self) {
+    /// Counts a statement that was refused because the database is cold.
+    pub fn record_refusal(&self) {
         self.refused.set(self.refused.get() + 1);
     }
 
-    /// Waits until `requests` may be sent, and counts them as sent.
+    /// Waits until the rate admits `requests`, and counts them as sent. Returns at once for 0 requests.
     ///
     /// # Errors
-    /// This node sends nothing to it, or its turn is too far away.
-    pub async fn turn(&self, requests: u32) -> Result<(), Denial> {
+    /// The database is cold, and this node may not send to it or would wait for longer than [`LONGEST_TURN`].
+    pub async fn wait_to_send(&self, requests: u32) -> Result<(), Denial> {
         if requests == 0 {
             return Ok(());
         }
@@ -204,7 +205,7 @@
             match self.pace() {
                 Pace::Free => return Ok(()),
                 Pace::After(wait) if wait.is_zero() => {
-                    self.sent(requests);
+                    self.record_sent(requests);
                     return Ok(());
                 }
                 Pace::After(wait) if Instant::now() + wait <= until => {
@@ -215,7 +216,7 @@
         }
     }
 
-    fn sent(&self, requests: u32) {
+    fn record_sent(&self, requests: u32) {
         self.throttle.borrow_mut().sent(self.now(), requests);
         self.sent.set(self.sent.get() + u64::from(requests));
     }
--- a/crates/dyketally-gateway/src/database/pool/checkout.rs
+++ b/crates/dyketally-gateway/src/database/pool/checkout.rs
@@ -1,4 +1,4 @@
-//! A connection of a pool in use.
+//! A connection that is checked out of a pool.
 
 use std::rc::Rc;
 
@@ -7,56 +7,56 @@
 use tokio::time::Instant;
 
 use super::Pool;
-use super::guards::Held;
+use super::guards::Guards;
 use crate::database::batch::Batch;
 use crate::database::connection::{Answer, Broken, Connection};
 use crate::measures::Stage;
 
-/// A connection in use. Dropping it closes the connection; [`Checkout::give_back`] keeps it.
+/// A checked-out connection. Dropping it closes the connection; [`Checkout::give_back`] returns it to the pool.
 pub struct Checkout {
     pool: Rc<Pool>,
     connection: Option<Connection>,
-    held: Held,
+    guards: Guards,
 }
 
 /// Why a batch has no answers.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum RunError {
-    /// Nothing was sent.
+    /// The database is cold, and nothing was sent.
     #[error(transparent)]
     Denied(#[from] Denial),
-    /// Any of the steps may have run.
+    /// The connection broke; any of the steps may have run.
     #[error(transparent)]
     Broken(#[from] Broken),
 }
 
 impl Checkout {
-    pub(super) fn new(pool: Rc<Pool>, connection: Connection, held: Held) -> Self {
+    pub(super) fn new(pool: Rc<Pool>, connection: Connection, guards: Guards) -> Self {
         Self {
             pool,
             connection: Some(connection),
-            held,
+            guards,
         }
     }
 
-    /// The database that it leads to.
+    /// The database to which the connection is open.
     pub fn database(&self) -> &DatabaseName {
         &self.pool.database
     }
 
-    /// Waits for its turn to run a batch that goes on with a transaction. The permission
-    /// for the batch is obtained after this wait, since it may change meanwhile.
+    /// Waits until the pool's gate admits a further batch of an open transaction. Obtain the permission for the
+    /// batch after this wait, since eligibility may change meanwhile.
     pub async fn wait_for_turn(&mut self, batch: &Batch) {
-        if self.held.running.is_none() && batch.takes_slot() {
-            self.held.running = Some(self.pool.turn().await);
+        if self.guards.running.is_none() && batch.takes_slot() {
+            self.guards.running = Some(self.pool.wait_to_continue().await);
         }
     }
 
-    /// Runs a batch, for which `permission` was obtained; any that its database takes while it is cold
-    /// waits for its turn there.
+    /// Runs a batch, for which `permission` was obtained. While the database is cold, the batch first waits until
+    /// the database's rate admits it.
     ///
     /// # Errors
-    /// The database is cold and takes nothing from this node for now; or the connection broke.
+    /// The database is cold and this node may not send to it for now, or the connection broke.
     pub async fn run(
         &mut self,
         batch: &Batch,
@@ -64,13 +64,13 @@
     ) -> Result<Vec<Answer>, RunError> {
         debug_assert!(permission.is_for(self.database()));
         self.wait_for_turn(batch).await;
-        self.pool.pacer.turn(batch.requests()).await?;
-        self.held.reserved = None;
+        self.pool.pacer.wait_to_send(batch.requests()).await?;
+        self.guards.reserved = None;
         let connection = self
             .connection
             .as_mut()
             .expect("a checkout has its connection until it is given back");
-        let opened = connection.opened();
+        let opened = connection.opening_began();
         let began = Instant::now();
         let silence = self.pool.gate.borrow().silence();
         let run = connection.run(batch);
@@ -78,30 +78,30 @@
         let answers = match tokio::time::timeout(silence, &mut run).await {
             Ok(answers) => answers,
             Err(_) => {
-                self.held.running = None;
+                self.guards.running = None;
                 run.await
             }
         };
-        let answers = answers.inspect_err(|_| self.pool.pacer.may_have_restarted())?;
+        let answers = answers.inspect_err(|_| self.pool.pacer.record_possible_restart())?;
         self.pool.pacer.answered(opened);
-        self.held.running = None;
+        self.guards.running = None;
         self.pool.measures.spent(Stage::Database, began.elapsed());
-        self.pool.note_answers(&answers, began.elapsed());
+        self.pool.record_answers(&answers, began.elapsed());
         Ok(answers)
     }
 
-    /// Returns the connection for others to use. It must be outside any transaction.
+    /// Returns the connection to the pool. No transaction may be open on it.
     pub fn give_back(mut self) {
         let Some(mut connection) = self.connection.take() else {
             return;
         };
-        self.held.pinned = None;
-        self.held.running = None;
-        self.held.reserved = None;
+        self.guards.pinned = None;
+        self.guards.running = None;
+        self.guards.reserved = None;
         connection.idle_since = Instant::now();
-        if self.pool.open.get() > self.pool.size.share() {
+        if self.pool.open.get() > self.pool.size.assigned_limit() {
             drop(connection);
-            self.pool.closed();
+            self.pool.connection_closed();
             return;
         }
         self.pool.idle.borrow_mut().push(connection);
@@ -113,7 +113,7 @@
 impl Drop for Checkout {
     fn drop(&mut self) {
         if self.connection.take().is_some() {
-            self.pool.closed();
+            self.pool.connection_closed();
         }
     }
 }
--- a/crates/dyketally-gateway/src/database/pool/guards.rs
+++ b/crates/dyketally-gateway/src/database/pool/guards.rs
@@ -1,5 +1,5 @@
-//! What a pool counts while it lasts: connections that are being opened or kept, statements in
-//! flight, and those who wait.
+//! Guards that keep the counts of a pool: connections being opened, connections of transactions, statements in
+//! flight, and waiting requests.
 
 use std::rc::Rc;
 
@@ -7,9 +7,9 @@
 
 use super::Pool;
 use crate::database::claim::{Claim, Work};
-use crate::database::pacer::Reserved;
+use crate::database::pacer::BatchReservation;
 
-/// Counts a connection that is being opened, unless it comes to nothing.
+/// Counts a connection as open while it is being opened; dropped without [`OpenSlot::keep`], it undoes the count.
 pub(super) struct OpenSlot {
     pool: Option<Rc<Pool>>,
 }
@@ -30,12 +30,12 @@
 impl Drop for OpenSlot {
     fn drop(&mut self) {
         if let Some(pool) = self.pool.take() {
-            pool.closed();
+            pool.connection_closed();
         }
     }
 }
 
-/// Counts a connection as kept by a transaction until it is dropped.
+/// Counts a connection as used by a transaction until the guard is dropped.
 pub(super) struct Pinned {
     pool: Rc<Pool>,
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Counts a statement as in flight until it is dropped.
+/// Counts a statement as in flight until the guard is dropped.
 pub(super) struct Running {
     pool: Rc<Pool>,
 }
@@ -76,16 +76,16 @@
     }
 }
 
-/// The counts of the pool that a connection in use holds.
-pub(super) struct Held {
+/// The guards of a checked-out connection.
+pub(super) struct Guards {
     pub(super) pinned: Option<Pinned>,
-    /// Set from the time at which something may run to the end of what runs.
+    /// Set from the admission of a batch to its end, or until the batch has been unanswered for too long.
     pub(super) running: Option<Running>,
-    /// Set until something is sent to a database that is cold.
-    pub(super) reserved: Option<Reserved>,
+    /// Set from the checkout of a connection to a cold database to its first batch.
+    pub(super) reserved: Option<BatchReservation>,
 }
 
-impl Held {
+impl Guards {
     pub(super) fn take(pool: &Rc<Pool>, claim: &Claim) -> Self {
         Self {
             pinned: Pinned::take(pool, claim.work),
@@ -98,7 +98,7 @@
     }
 }
 
-/// Counts someone as waiting until it is dropped.
+/// Counts a request as waiting until the guard is dropped.
 pub(super) struct Waiting {
     pool: Rc<Pool>,
     rank: Rank,
--- a/crates/dyketally-gateway/src/database/pool/mod.rs
+++ b/crates/dyketally-gateway/src/database/pool/mod.rs
@@ -1,7 +1,8 @@
-//! This node's connections to one database: opened on demand, handed out by priority.
+//! Pool of this node's connections to one database. Connections are opened on demand and checked out by
+//! priority.
 //!
-//! A gate limits what is in flight. A statement whose wait behind others would be longer than its patience
-//! is refused as it comes, see [`crate::decision::admit`].
+//! A gate limits the number of statements in flight. A statement whose expected wait exceeds its queue timeout is
+//! refused on arrival; see [`crate::decision::admit`].
 
 mod checkout;
 mod closing;
@@ -32,33 +33,33 @@
 use crate::ports::DatabaseUser;
 
 pub use self::checkout::{Checkout, RunError};
-use self::guards::{Held, Running};
+use self::guards::{Guards, Running};
 pub use self::opening::OPEN_LIMIT;
 use self::path::Path;
 use self::size::Size;
-use self::waiting::{Waiter, Want};
+use self::waiting::{WaitFor, Waiter};
 
-/// Priority of the gateway's own exchanges: before all callers.
+/// Priority of the gateway's own statements, ahead of all callers.
 pub const OWN_PRIORITY: u32 = 0;
-/// Priority of transactions that go on.
-const FIRST: u32 = 0;
-/// How long a transaction that goes on waits before it looks again, should a wake-up be missed. Not
-/// measured.
-const TURN_LOOK: Duration = Duration::from_secs(1);
-/// What opening a connection counts while a database is cold, in requests: it costs a database about as
-/// much as one. Not measured.
-const CONNECTING_COSTS: u32 = 1;
+/// Priority of further batches of open transactions.
+const CONTINUATION_PRIORITY: u32 = 0;
+/// Interval at which an open transaction that waits checks again whether it may continue, in case it missed a
+/// wake-up.
+const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of requests as which opening a connection counts against a cold database's rate: it costs the database
+/// about as much as one request.
+const REQUESTS_PER_OPENING: u32 = 1;
 
-/// Why no connection was handed out.
+/// Why no connection was checked out.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum CheckoutError {
-    /// All connections stayed in use until the limit of the wait.
-    #[error("all connections of this node to the database stayed in use")]
+    /// No connection became free or could be opened before the wait limit.
+    #[error("no connection of this node to the database became free within the wait limit")]
     Exhausted,
-    /// Those that wait already would use up the limit of the wait.
-    #[error("too many statements wait for the database")]
+    /// The expected wait behind the requests in the queue exceeds the queue timeout.
+    #[error("the expected wait for a connection to the database exceeds the queue timeout")]
     QueueTooLong,
-    /// The database is cold, and this node sends nothing more to it for now.
+    /// The database is cold, and its rate admits no further request of this node in time.
     #[error(transparent)]
     Denied(#[from] Denial),
     /// A connection could not be opened.
@@ -66,22 +67,22 @@
     Open(#[from] OpenError),
 }
 
-/// How a pool stands.
+/// Status of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolStatus {
     /// Connections that are open or being opened.
     pub open: u32,
-    /// Those of them that nobody uses.
+    /// Open connections that are idle.
     pub idle: u32,
-    /// Those that transactions keep.
+    /// Open connections that transactions use.
     pub pinned: u32,
-    /// How many may be open.
+    /// Maximum number of open connections.
     pub limit: u32,
-    /// Statements that wait for one, or for a turn.
+    /// Requests that wait for a connection or to continue a transaction.
     pub waiting: u32,
 }
 
-/// Connections of this node to one database.
+/// This node's connections to one database.
 pub struct Pool {
     connector: Rc<Connector>,
     database: DatabaseName,
@@ -92,20 +93,20 @@
     size: Size,
     waiters: RefCell<Vec<Waiter>>,
     next_number: Cell<u64>,
-    /// Connections that transactions keep.
+    /// Connections that transactions use.
     pinned: Cell<u32>,
-    /// What is in flight, and how long others wait.
+    /// Limits the statements in flight and estimates the wait of others.
     gate: RefCell<Gate>,
-    /// How fast the database may be loaded.
+    /// Limits the rate of requests while the database is cold.
     pacer: Rc<Pacer>,
-    /// True while a task wakes the waiters of a cold database one after the other.
-    pacing: Cell<bool>,
+    /// True while a task wakes waiting requests at the rate of a cold database.
+    waking_at_cold_rate: Cell<bool>,
     started: Instant,
     measures: Rc<Measures>,
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// A pool without connections, of which at most `limit` may be open.
     pub fn new(
         connector: Rc<Connector>,
         database: DatabaseName,
@@ -128,13 +129,13 @@
             pinned: Cell::new(0),
             gate: RefCell::default(),
             pacer,
-            pacing: Cell::new(false),
+            waking_at_cold_rate: Cell::new(false),
             started: Instant::now(),
             measures,
         })
     }
 
-    /// How it stands.
+    /// The current status.
     pub fn status(&self) -> PoolStatus {
         PoolStatus {
             open: self.open.get(),
@@ -145,16 +146,18 @@
         }
     }
 
-    /// Applies the database's number of slots, and how many nodes share them.
-    pub fn share_out(&self, slots: u32, holders: usize) {
+    /// Sets the database's number of slots and the number of nodes that share them.
+    pub fn set_slots(&self, slots: u32, holders: usize) {
         self.gate.borrow_mut().share_out(slots, holders);
         self.wake_next();
     }
 
-    /// Hands out a connection, the one that suits `values` best, by `until` at the latest.
+    /// Checks out a connection, preferring the idle one that needs the fewest commands to get the session
+    /// settings `values`.
     ///
     /// # Errors
-    /// None is free in time, or a new one can't be opened.
+    /// No connection becomes free in time, the queue is too long, the database is cold and admits no more, or a
+    /// new connection can't be opened.
     pub async fn checkout(
         self: &Rc<Self>,
         values: &BTreeMap<String, String>,
@@ -162,55 +165,60 @@
     ) -> Result<Checkout, CheckoutError> {
         let began = Instant::now();
         loop {
-            if self.admits(claim.priority, Want::Connection(claim.work)) {
+            if self.admits(claim.priority, WaitFor::Connection(claim.work)) {
                 if let Some(connection) = self.take_idle(claim.user.as_ref(), values) {
                     self.measures.spent(Stage::Queue, began.elapsed());
-                    self.handed_out(Handed::Idle);
-                    let held = Held::take(self, &claim);
-                    return Ok(Checkout::new(self.clone(), connection, held));
+                    self.record_acquired(Handed::Idle);
+                    let guards = Guards::take(self, &claim);
+                    return Ok(Checkout::new(self.clone(), connection, guards));
                 }
                 if let Some(how) = self.make_room() {
                     self.measures.spent(Stage::Queue, began.elapsed());
-                    self.handed_out(how);
-                    let held = Held::take(self, &claim);
+                    self.record_acquired(how);
+                    let guards = Guards::take(self, &claim);
                     let user = claim.user.unwrap_or(DatabaseUser::Gateway);
-                    let costs = match claim.work {
+                    let requests = match claim.work {
                         Work::Control => 0,
-                        Work::Statements | Work::Transaction => CONNECTING_COSTS,
+                        Work::Statements | Work::Transaction => REQUESTS_PER_OPENING,
                     };
-                    self.pacer.turn(costs).await?;
-                    return self.open_one(user, claim.until, held).await;
+                    self.pacer.wait_to_send(requests).await?;
+                    return self.open_one(user, claim.until, guards).await;
                 }
             }
-            // How long a queue for a cold database takes is known beforehand, so it may be longer: there
-            // the urgent overtake the others.
-            let patience = match self.pacer.is_cold() {
+            // A cold database's rate makes the wait predictable, so its queue may be longer; requests of higher
+            // priority overtake others in it.
+            let queue_timeout = match self.pacer.is_cold() {
                 true => claim.patience.burst,
                 false => self.gate.borrow().patience(self.now(), claim.patience),
             };
             let expected = self.gate.borrow().expected_wait(claim.priority);
-            if expected.is_some_and(|expected| expected > patience) {
+            if expected.is_some_and(|expected| expected > queue_timeout) {
                 return Err(CheckoutError::QueueTooLong);
             }
-            self.await_load(claim.priority, patience)?;
-            let until = claim.until.min(Instant::now() + patience);
-            self.wait(claim.priority, Want::Connection(claim.work), until)
+            self.check_cold_wait(claim.priority, queue_timeout)?;
+            let until = claim.until.min(Instant::now() + queue_timeout);
+            self.wait(claim.priority, WaitFor::Connection(claim.work), until)
                 .await?;
         }
     }
 
-    /// Waits until a transaction that keeps a connection may go on: before all who have yet to begin.
-    async fn turn(self: &Rc<Self>) -> Running {
-        while !self.admits(FIRST, Want::Turn) {
-            // A wait that ran out is repeated: the caller drops this future when it stops waiting.
+    /// Waits until the gate admits a further batch of an open transaction, ahead of requests without a connection.
+    async fn wait_to_continue(self: &Rc<Self>) -> Running {
+        while !self.admits(CONTINUATION_PRIORITY, WaitFor::Continuation) {
+            // A wait that timed out is repeated; the caller drops this future when it stops waiting.
             let _ = self
-                .wait(FIRST, Want::Turn, Instant::now() + TURN_LOOK)
+                .wait(
+                    CONTINUATION_PRIORITY,
+                    WaitFor::Continuation,
+                    Instant::now() + RECHECK_INTERVAL,
+                )
                 .await;
         }
         Running::begin(self)
     }
 
-    fn note_answers(&self, answers: &[Answer], elapsed: Duration) {
+    /// Adjusts the gate to the answers of a batch, which took `elapsed`.
+    fn record_answers(&self, answers: &[Answer], elapsed: Duration) {
         let busy = |answer: &Answer| matches!(&answer.end, Err(failure) if failure.kind == FailureKind::Busy);
         let mut gate = self.gate.borrow_mut();
         match answers.iter().any(busy) {
@@ -223,7 +231,8 @@
         Timestamp::from_micros(self.started.elapsed().as_micros() as u64)
     }
 
-    /// The idle connection of `user` that suits `values` best; of any user if none is given.
+    /// Takes the idle connection of `user`, or of any user if `None`, that needs the fewest commands to get the
+    /// settings `values`. Closes stale connections that it finds.
     fn take_idle(
         &self,
         user: Option<&DatabaseUser>,
@@ -234,7 +243,7 @@
             let indexed = idle.iter().enumerate().rev();
             let indexed =
                 indexed.filter(|(_, connection)| user.is_none_or(|user| connection.user() == user));
-            let best = indexed.min_by_key(|(_, connection)| connection.distance(values));
+            let best = indexed.min_by_key(|(_, connection)| connection.adoption_cost(values));
             let index = best.map(|(index, _)| index)?;
             let connection = idle.swap_remove(index);
             drop(idle);
@@ -242,17 +251,17 @@
                 return Some(connection);
             }
             if connection.was_closed() {
-                self.pacer.may_have_restarted();
+                self.pacer.record_possible_restart();
             }
-            self.closed();
+            self.connection_closed();
         }
     }
 
-    fn handed_out(&self, how: Handed) {
+    fn record_acquired(&self, how: Handed) {
         self.measures.handed_out(self.group.as_str(), how);
     }
 
-    fn closed(&self) {
+    fn connection_closed(&self) {
         self.open.set(self.open.get().saturating_sub(1));
         self.wake_next();
     }
--- a/crates/dyketally-gateway/src/database/pool/opening.rs
+++ b/crates/dyketally-gateway/src/database/pool/opening.rs
@@ -6,22 +6,23 @@
 use dyketally::statement::FailureKind;
 use tokio::time::Instant;
 
-use super::guards::{Held, OpenSlot};
+use super::guards::{Guards, OpenSlot};
 use super::{Checkout, CheckoutError, Pool};
 use crate::database::connection::{Destination, OpenError};
 use crate::measures::Stage;
 use crate::ports::DatabaseUser;
 
-/// Longest time that opening a connection may take. Opening one takes about 12 ms at the databases of
-/// today, and a busy one may be slow to accept it. Not measured.
+/// Time limit for opening a connection. Opening usually takes about 12 ms, and a busy database may accept more
+/// slowly.
 pub const OPEN_LIMIT: Duration = Duration::from_millis(500);
 
 impl Pool {
+    /// Opens a connection for `user` by the deadline `until`.
     pub(super) async fn open_one(
         self: &Rc<Self>,
         user: DatabaseUser,
         until: Instant,
-        held: Held,
+        guards: Guards,
     ) -> Result<Checkout, CheckoutError> {
         let began = Instant::now();
         let left = until.saturating_duration_since(began);
@@ -37,16 +38,16 @@
             Ok(connection) => {
                 slot.keep();
                 self.measures.spent(Stage::Connection, began.elapsed());
-                Ok(Checkout::new(self.clone(), connection, held))
+                Ok(Checkout::new(self.clone(), connection, guards))
             }
             Err(error) => {
                 if !matches!(error, OpenError::TurnedAway(_)) {
-                    self.pacer.may_have_restarted();
+                    self.pacer.record_possible_restart();
                 }
                 if is_overload(&error) {
-                    self.size.refused_at(self.open.get().saturating_sub(1));
+                    self.size.record_refusal(self.open.get().saturating_sub(1));
                 }
-                // Too little time was left to tell whether the database is silent.
+                // With less than the full time limit, a time-out doesn't show that the database is silent.
                 match (error, left < OPEN_LIMIT) {
                     (OpenError::Silent, true) => Err(CheckoutError::Exhausted),
                     (error, _) => Err(error.into()),
--- a/crates/dyketally-gateway/src/database/pool/pacing.rs
+++ b/crates/dyketally-gateway/src/database/pool/pacing.rs
@@ -1,4 +1,4 @@
-//! Wakes those who wait for a database that is cold, one after the other.
+//! Wakes requests that wait for a cold database, one at a time, as its rate admits them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 
 use super::Pool;
 
-/// Shortest pause between two looks whether a cold database takes the next batch. Not measured.
-const SHORTEST_PACE: Duration = Duration::from_millis(2);
+/// Minimum interval between two attempts to wake a request that waits for a cold database.
+const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Pool {
     /// True while the database may be cold.
@@ -16,44 +16,44 @@
         self.pacer.is_cold()
     }
 
-    /// Checks that a cold database will take a batch within `patience`, and starts the task that wakes
-    /// its waiters.
+    /// Checks that the database's rate will admit another batch within `queue_timeout` if the database is cold, and
+    /// starts the task that wakes waiting requests.
     ///
     /// # Errors
-    /// It won't.
-    pub(super) fn await_load(
+    /// The estimated wait exceeds `queue_timeout`, or this node may not send to the cold database.
+    pub(super) fn check_cold_wait(
         self: &Rc<Self>,
         priority: u32,
-        patience: Duration,
+        queue_timeout: Duration,
     ) -> Result<(), Denial> {
         let waiters = self.waiters.borrow();
         let ahead = waiters.iter().filter(|waiter| waiter.priority <= priority);
         let expected = self.pacer.expected_wait(ahead.count());
-        if expected.is_ok_and(|expected| expected <= patience) {
+        if expected.is_ok_and(|expected| expected <= queue_timeout) {
             drop(waiters);
-            self.pace_waiters();
+            self.wake_at_cold_rate();
             return Ok(());
         }
-        self.pacer.refused();
+        self.pacer.record_refusal();
         Err(Denial::Cold)
     }
 
-    /// Wakes those who wait for a cold database, one after the other, as it takes them.
-    fn pace_waiters(self: &Rc<Self>) {
-        if !self.pacer.is_cold() || self.pacing.replace(true) {
+    /// Spawns a task that wakes waiting requests one at a time at the rate of a cold database, unless it runs.
+    fn wake_at_cold_rate(self: &Rc<Self>) {
+        if !self.pacer.is_cold() || self.waking_at_cold_rate.replace(true) {
             return;
         }
         let pool = self.clone();
         tokio::task::spawn_local(async move {
             loop {
                 let next = pool.pacer.expected_wait(0).unwrap_or_default();
-                tokio::time::sleep(next.max(SHORTEST_PACE)).await;
+                tokio::time::sleep(next.max(MIN_WAKE_INTERVAL)).await;
                 pool.wake_next();
                 if pool.waiters.borrow().is_empty() {
                     break;
                 }
             }
-            pool.pacing.set(false);
+            pool.waking_at_cold_rate.set(false);
         });
     }
 }
--- a/crates/dyketally-gateway/src/database/pool/path.rs
+++ b/crates/dyketally-gateway/src/database/pool/path.rs
@@ -1,5 +1,5 @@
-//! Which way a pool reaches its database: directly, or forwarded by another node while this one is cut
-//! off from the database.
+//! The path of a pool to its database: direct, or forwarded by another node while this node can't reach the
+//! database.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use super::Pool;
 use crate::database::connection::Route;
 
-/// How long connections are forwarded by a node without its being found again; a primary that stays
-/// silent is probed each 0.2 s, and a search for such a node takes up to 0.45 s. Not measured.
-const FORWARDER_HOLDS: Duration = Duration::from_millis(2_500);
+/// How long connections are forwarded through a node before the search has to find it again. A silent primary
+/// is probed every 0.2 s, and a search for a forwarding node takes up to 0.45 s.
+const FORWARDER_LIFETIME: Duration = Duration::from_millis(2_500);
 
-/// The way to one database.
+/// The path to one database.
 #[derive(Debug)]
 pub(super) struct Path {
     address: SocketAddr,
@@ -32,7 +32,7 @@
 
     pub(super) fn route(&self) -> Route {
         match self.forwarder.get() {
-            Some((node, since)) if since.elapsed() < FORWARDER_HOLDS => Route::Forwarded(node),
+            Some((node, since)) if since.elapsed() < FORWARDER_LIFETIME => Route::Forwarded(node),
             _ => Route::Direct(self.address),
         }
     }
@@ -44,8 +44,8 @@
         self.path.address
     }
 
-    /// Reaches the database by way of the node at `forwarder` for a while. Connections that are idle now
-    /// run over a path that is broken, so they are closed.
+    /// Opens connections through the node at `forwarder` for the next [`FORWARDER_LIFETIME`]. Idle connections use
+    /// the broken direct path, so they are closed.
     pub fn forward_by(&self, forwarder: SocketAddr) {
         if self.path.forwarder.get().is_none() {
             self.close_idle(true);
@@ -54,12 +54,12 @@
         self.path.forwarder.set(Some(found));
     }
 
-    /// True while the database is reached by way of another node.
+    /// True while new connections are forwarded by another node.
     pub fn is_forwarded(&self) -> bool {
         matches!(self.path.route(), Route::Forwarded(_))
     }
 
-    /// Reaches the database directly again.
+    /// Opens connections directly again.
     pub fn reach_directly(&self) {
         self.path.forwarder.set(None);
     }
--- a/crates/dyketally-gateway/src/database/pool/waiting.rs
+++ b/crates/dyketally-gateway/src/database/pool/waiting.rs
@@ -1,4 +1,4 @@
-//! Who waits for a connection or for a turn, and whose turn it is.
+//! The queue of requests that wait for a connection or to continue a transaction.
 
 use std::rc::Rc;
 
@@ -9,44 +9,46 @@
 use super::{CheckoutError, OWN_PRIORITY, Pool};
 use crate::database::claim::Work;
 
-/// What someone waits for.
+/// What a queued request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Want {
-    /// A connection, and to run something on it.
+pub(super) enum WaitFor {
+    /// A connection for this purpose.
     Connection(Work),
-    /// To go on with a transaction.
-    Turn,
+    /// Admission of a further batch of a transaction, which has its connection already.
+    Continuation,
 }
 
+/// A queued request. Waiting requests are woken by priority, and by arrival within a priority.
 pub(super) struct Waiter {
     pub(super) priority: u32,
     number: u64,
-    want: Want,
+    wait_for: WaitFor,
     wake: oneshot::Sender<()>,
 }
 
 impl Pool {
-    /// Transactions never take all connections: a few are left for single statements, which need
-    /// them for a moment only.
-    pub(super) fn admits(&self, priority: u32, want: Want) -> bool {
+    /// True when a request may proceed now. Some connections are reserved for single statements, which use them
+    /// only briefly.
+    pub(super) fn admits(&self, priority: u32, wait_for: WaitFor) -> bool {
         let may_run = self.gate.borrow().admits();
-        match want {
-            // The gateway's own statements are few, and tell it what it must know.
-            Want::Connection(Work::Control) => true,
-            Want::Connection(_) if priority == OWN_PRIORITY => self.pacer.admits(),
-            Want::Connection(work) => may_run && self.admits_work(work) && self.pacer.admits(),
-            Want::Turn => may_run,
+        match wait_for {
+            // Control requests are few, and the gateway depends on their answers.
+            WaitFor::Connection(Work::Control) => true,
+            WaitFor::Connection(_) if priority == OWN_PRIORITY => self.pacer.admits(),
+            WaitFor::Connection(work) => may_run && self.admits_use(work) && self.pacer.admits(),
+            WaitFor::Continuation => may_run,
         }
     }
 
-    fn admits_work(&self, work: Work) -> bool {
-        work != Work::Transaction || self.pinned.get() < self.size.limit_of_transactions()
+    fn admits_use(&self, work: Work) -> bool {
+        work != Work::Transaction || self.pinned.get() < self.size.transaction_limit()
     }
 
+    /// Queues a request until it is woken; [`CheckoutError::Exhausted`] if that doesn't happen by `until`.
     pub(super) async fn wait(
         self: &Rc<Self>,
         priority: u32,
-        want: Want,
+        wait_for: WaitFor,
         until: Instant,
     ) -> Result<(), CheckoutError> {
         let (wake, woken) = oneshot::channel();
@@ -55,7 +57,7 @@
         self.waiters.borrow_mut().push(Waiter {
             priority,
             number,
-            want,
+            wait_for,
             wake,
         });
         let waiting = Waiting::begin(self, priority);
@@ -69,11 +71,13 @@
         Err(CheckoutError::Exhausted)
     }
 
+    /// Wakes the first waiting request that may proceed now.
     pub(super) fn wake_next(&self) {
         loop {
             let mut waiters = self.waiters.borrow_mut();
             let indexed = waiters.iter().enumerate();
-            let admitted = indexed.filter(|(_, waiter)| self.admits(waiter.priority, waiter.want));
+            let admitted =
+                indexed.filter(|(_, waiter)| self.admits(waiter.priority, waiter.wait_for));
             let first = admitted.min_by_key(|(_, waiter)| (waiter.priority, waiter.number));
             let Some(index) = first.map(|(index, _)| index) else {
                 return;
--- a/crates/dyketally-gateway/src/database/primary.rs
+++ b/crates/dyketally-gateway/src/database/primary.rs
@@ -1,4 +1,4 @@
-//! Which database leads a group as far as this node knows, and whether it can be used.
+//! The primary of each group as this node knows it, and whether the primary can be used.
 
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -10,36 +10,36 @@
 use super::Databases;
 use super::target::Target;
 
-/// What this layer asks of the one that watches primaries and replaces them.
+/// Watches primaries and replaces them; implemented by succession.
 pub trait PrimaryWatch {
-    /// True while it isn't certain that the known primary of `group` still leads.
+    /// True while it is uncertain whether the known primary of `group` still leads.
     fn primary_is_unconfirmed(&self, group: &GroupName) -> bool;
 
-    /// Probes `target`, which can't be reached, if it is a primary.
+    /// Probes `target`, which appears unreachable, if it is a primary.
     fn suspect(self: Rc<Self>, target: &Target);
 
     /// Reports that the primary `target` is probably lost, without probing it.
     fn report(&self, target: &Target);
 
-    /// Looks whether a primary has to be replaced: databases or evacuations changed.
+    /// Checks whether a primary has to be replaced, after databases or evacuations changed.
     fn look_at_primaries(&self);
 }
 
 impl Databases {
-    /// Has primaries watched by `watch`, which is built on this part.
+    /// Sets the watch, which is created after `Databases` since it depends on it.
     pub fn watched_by(&self, watch: Weak<dyn PrimaryWatch>) {
-        *self.watch.borrow_mut() = Some(watch);
+        *self.primary_watch.borrow_mut() = Some(watch);
     }
 
-    /// The watch; `None` while the process is put together and once it is taken apart.
-    pub(super) fn watch(&self) -> Option<Rc<dyn PrimaryWatch>> {
-        self.watch.borrow().as_ref()?.upgrade()
+    /// The watch; `None` before it is set during start-up and after it is dropped during shutdown.
+    pub(super) fn primary_watch(&self) -> Option<Rc<dyn PrimaryWatch>> {
+        self.primary_watch.borrow().as_ref()?.upgrade()
     }
 
-    /// The database that leads `group`, if it may get new work that `regions` bind.
+    /// The primary of `group`, if it may be sent new statements that must run in `regions`.
     ///
     /// # Errors
-    /// Why there is none.
+    /// The reason why no primary can be used.
     pub fn primary_target(
         &self,
         group: &GroupName,
@@ -47,20 +47,20 @@
     ) -> Result<Target, Denial> {
         let directory = self.directory.borrow();
         let Some(primary) = directory.primary(group) else {
-            return Err(self.without_primary(group));
+            return Err(self.missing_primary_denial(group));
         };
-        // The permission is obtained anew before something is sent.
+        // This permission is dropped: each send obtains its own.
         self.judge(primary, &Intent::first(regions, true))
             .map(drop)?;
-        let watch = self.watch();
+        let watch = self.primary_watch();
         match watch.is_some_and(|watch| watch.primary_is_unconfirmed(group)) {
             true => Err(Denial::BeingReplaced),
             false => Ok(self.target(primary, true)),
         }
     }
 
-    /// Why a group without a known primary has none.
-    fn without_primary(&self, group: &GroupName) -> Denial {
+    /// The reason why a group without a known primary can't serve.
+    fn missing_primary_denial(&self, group: &GroupName) -> Denial {
         let directory = self.directory.borrow();
         let mut ready = directory
             .members(group)
@@ -74,19 +74,20 @@
         }
     }
 
-    /// True when a database is the leader of its group as far as this node knows.
+    /// True when this node knows `target` as the primary of its group.
     pub fn is_primary(&self, target: &Target) -> bool {
         self.leads(&target.group, &target.name)
     }
 
+    /// True when this node knows `database` as the primary of `group`.
     pub(super) fn leads(&self, group: &GroupName, database: &DatabaseName) -> bool {
         let directory = self.directory.borrow();
         let primary = directory.primary(group);
         primary.is_some_and(|primary| primary.name() == database)
     }
 
-    /// Time since the first of the attempts that found no usable primary of `group`; `None` while it has
-    /// one, zero before an attempt failed.
+    /// Time since the first attempt that found no usable primary of `group`; `None` while there is one, zero
+    /// if there is none but no attempt has failed yet.
     pub fn primary_missing_for(&self, group: &GroupName) -> Option<Duration> {
         let primary = self.primary_target(group, &ServingRegions::anywhere());
         match primary.is_ok_and(|primary| !primary.state.is_suspended()) {
--- a/crates/dyketally-gateway/src/database/regions.rs
+++ b/crates/dyketally-gateway/src/database/regions.rs
@@ -1,4 +1,4 @@
-//! In which regions databases run, and in which of them a group's primary should lead.
+//! Chooses the regions in which the primary of a group should run.
 
 use std::collections::BTreeSet;
 
@@ -9,8 +9,8 @@
 use super::target::Target;
 
 impl Databases {
-    /// The regions in which a successor of `primary` should lead: those that serve most of what may
-    /// ask for it, of those that have a database which can take over.
+    /// The regions in which a successor of `primary` should run: among the regions with a database that can
+    /// take over, those that may serve most of the group's demand.
     pub fn successor_regions(&self, primary: &Target) -> ServingRegions {
         let routes = self.cx.routes();
         if !routes.binds_regions() {
@@ -21,8 +21,8 @@
         ServingRegions::only(regions)
     }
 
-    /// Where the primary of a group should lead rather than in the region of `primary`, by what
-    /// routes and tenants allow.
+    /// The region to which the lead should move from `primary`, by the serving regions of routes and tenants;
+    /// `None` if the lead should stay.
     pub fn preferred_regions(&self, primary: &Target) -> Option<ServingRegions> {
         let routes = self.cx.routes();
         if !routes.binds_regions() {
@@ -35,16 +35,16 @@
         preferred.map(|region| ServingRegions::only([region]))
     }
 
-    /// The regions of databases that may serve, but for `passed_over`.
+    /// The regions of the group's databases that may serve, without the database `excluded`.
     fn usable_regions(
         &self,
         group: &GroupName,
-        passed_over: Option<&DatabaseName>,
+        excluded: Option<&DatabaseName>,
     ) -> Vec<RegionName> {
         let directory = self.directory.borrow();
         let members = directory.members(group);
         let usable =
-            members.filter(|member| self.may_serve(member) && passed_over != Some(member.name()));
+            members.filter(|member| self.may_serve(member) && excluded != Some(member.name()));
         let regions: BTreeSet<RegionName> = usable
             .map(|member| self.region_of_zone(&member.announcement.zone))
             .collect();
--- a/crates/dyketally-gateway/src/database/shares.rs
+++ b/crates/dyketally-gateway/src/database/shares.rs
@@ -1,4 +1,4 @@
-//! This node's share of the connections to each database, which depends on the other nodes.
+//! This node's share of each database's connections, slots and cold rate, which depends on the other nodes.
 
 use std::rc::Rc;
 
@@ -7,28 +7,27 @@
 use super::Databases;
 use super::pool::Pool;
 
-/// Shares of connections, worked out from the nodes that are known and the routes in force.
+/// Shares of each database, computed from the known nodes and the routes in force.
 pub trait ConnectionShares {
-    /// Connections that this node may have open to a database.
+    /// Maximum number of connections that this node may have open to a database.
     fn connection_limit(&self, database: &DatabaseName) -> u32;
 
-    /// True when this node keeps connections to a database.
+    /// True when this node is a home of a database, which keeps connections to it.
     fn is_home(&self, database: &DatabaseName) -> bool;
 
-    /// Nodes that share a database's slots.
+    /// Number of nodes among which a database's slots are divided.
     fn sharers(&self, database: &DatabaseName) -> usize;
 
-    /// True when this node sends to a database while that is cold. False until the nodes are known: this
-    /// one would take itself for the only one.
+    /// True when this node may send to a database while it is cold. False until the other nodes are known:
+    /// until then this node would count itself as the only one.
     fn may_send_cold(&self, database: &DatabaseName) -> bool;
 
-    /// Discards what was worked out: nodes or limits changed.
+    /// Discards the computed shares after nodes or limits changed.
     fn forget(&self);
 }
 
 impl Databases {
-    /// Gives each pool its share of its database's connections, and each pacer its part of a cold
-    /// database's rate: nodes or limits changed.
+    /// Recomputes the shares after nodes or limits changed, and applies them to each pool and each pacer.
     pub fn apply_shares(&self) {
         self.shares.forget();
         for (name, database) in self.states.borrow().iter() {
@@ -40,15 +39,15 @@
         self.share_cold_rates();
     }
 
-    /// Applies the shares anew once the running task is done with its changes, so that changes which come
-    /// together cost one round.
+    /// Spawns a task that applies the shares, unless one is pending. Changes that the running task makes
+    /// together are then applied once.
     pub fn apply_shares_soon(self: &Rc<Self>) {
-        if self.sharing_soon.replace(true) {
+        if self.shares_pending.replace(true) {
             return;
         }
         let databases = self.clone();
         tokio::task::spawn_local(async move {
-            databases.sharing_soon.set(false);
+            databases.shares_pending.set(false);
             databases.apply_shares();
         });
     }
@@ -56,7 +55,7 @@
     pub(super) fn share_slots(&self, name: &DatabaseName, pool: &Pool) {
         let directory = self.directory.borrow();
         if let Some(member) = directory.member(name) {
-            pool.share_out(member.announcement.slots, self.shares.sharers(name));
+            pool.set_slots(member.announcement.slots, self.shares.sharers(name));
         }
     }
 }
--- a/crates/dyketally-gateway/src/database/slow_start.rs
+++ b/crates/dyketally-gateway/src/database/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: what databases announce of their start, and which share of a cold database's rate this
-//! node may use; see [`dyketally::slow_start`].
+//! Slow start: records when databases announce that they are cold, and decides whether this node may send
+//! to them meanwhile; see [`dyketally::slow_start`].
 
 use std::rc::Rc;
 
@@ -14,14 +14,14 @@
 use crate::event::Event;
 
 impl Databases {
-    /// How a database may be loaded.
+    /// The pacer of a database, created if it is missing.
     pub fn pacer(&self, database: &DatabaseName) -> Rc<Pacer> {
         let mut known = self.pacers.borrow_mut();
         let new = || Pacer::new(self.cx.contact.clone(), self.cx.clock.started());
         known.entry(database.clone()).or_insert_with(new).clone()
     }
 
-    /// How all databases may be loaded that are known.
+    /// The pacers of all databases that have one.
     pub fn pacers(&self) -> Vec<(DatabaseName, Rc<Pacer>)> {
         let known = self.pacers.borrow();
         let known = known.iter();
@@ -30,12 +30,12 @@
             .collect()
     }
 
-    /// Records what a database announces of its start, once the directory knows the database.
+    /// Records for how long a database announces itself as cold. Call it after the directory was updated.
     pub fn start_announced(&self, announcement: &Announcement) {
         let database = &announcement.database;
         let pacer = self.pacer(database);
         let was_cold = !pacer.announced_cold_for().is_zero();
-        pacer.announced(announcement.cold_for);
+        pacer.record_announcement(announcement.cold_for);
         self.share_cold_rate(database, &announcement.group, &pacer);
         if !was_cold && !pacer.announced_cold_for().is_zero() {
             self.cx.events.write(&Event::DatabaseCold {
@@ -46,20 +46,20 @@
         }
     }
 
-    /// Records that a database no longer announces itself: it may start again without this node's
+    /// Records that a database no longer announces itself, so that it may restart without this node's
     /// knowledge.
     pub fn start_is_unknown(&self, database: &DatabaseName) {
-        self.pacer(database).may_have_restarted();
+        self.pacer(database).record_possible_restart();
     }
 
-    /// Records that databases which `listed` lacks no longer announce themselves.
+    /// Records that databases missing from `listed` no longer announce themselves.
     pub fn starts_are_unknown_but_for(&self, listed: &[Announcement]) {
         for (name, pacer) in self.pacers() {
             if listed
                 .iter()
                 .all(|announcement| announcement.database != name)
             {
-                pacer.may_have_restarted();
+                pacer.record_possible_restart();
             }
         }
     }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Works out anew which databases this node sends to while they are cold.
+    /// Recomputes which databases this node may send to while they are cold.
     pub(super) fn share_cold_rates(&self) {
         for (database, pacer) in self.pacers() {
             let group = {
@@ -82,25 +82,25 @@
             };
             match group {
                 Some(group) => self.share_cold_rate(&database, &group, &pacer),
-                None => pacer.hold(false),
+                None => pacer.set_holder(false),
             }
         }
     }
 
     fn share_cold_rate(&self, database: &DatabaseName, group: &GroupName, pacer: &Pacer) {
-        let rule = rule_of(&self.cx, group);
+        let rule = slow_start_rule(&self.cx, group);
         pacer.set_rule(rule, margin(&self.cx));
-        pacer.hold(rule.is_some() && self.shares.may_send_cold(database));
+        pacer.set_holder(rule.is_some() && self.shares.may_send_cold(database));
     }
 }
 
-/// How many nodes send to a database of `group` while it is cold.
+/// Number of nodes that may send to a database of `group` while it is cold.
 pub fn cold_senders(cx: &Context, group: &GroupName) -> usize {
-    let rule = rule_of(cx, group);
+    let rule = slow_start_rule(cx, group);
     rule.map_or(0, |rule| Budget::of(rule.rate, margin(cx)).holders)
 }
 
-fn rule_of(cx: &Context, group: &GroupName) -> Option<SlowStart> {
+fn slow_start_rule(cx: &Context, group: &GroupName) -> Option<SlowStart> {
     let routes = cx.routes();
     let limits = routes.groups.get(group)?;
     limits.slow_start
--- a/crates/dyketally-gateway/src/database/target.rs
+++ b/crates/dyketally-gateway/src/database/target.rs
@@ -1,4 +1,4 @@
-//! Databases that statements may be sent to: a member of the directory with this node's state of it.
+//! Targets of statements: members of the directory, each with this node's pool and health for it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,15 +15,15 @@
 /// A database that a statement may be sent to.
 #[derive(Clone)]
 pub struct Target {
-    /// Its name.
+    /// Name of the database.
     pub name: DatabaseName,
-    /// Its group.
+    /// Group of the database.
     pub group: GroupName,
-    /// Where it runs.
+    /// Zone in which the database runs.
     pub zone: ZoneName,
-    /// The database as this node uses it.
+    /// This node's pool and health for the database.
     pub state: Rc<DatabaseState>,
-    /// True when it is believed to lead.
+    /// True when the database is treated as the leader of its group.
     pub leads: bool,
 }
 
@@ -34,13 +34,13 @@
 }
 
 impl Databases {
-    /// A database as a target, believed to lead; `None` where it isn't known.
+    /// A database as a target that is treated as the leader; `None` if the directory lacks it.
     pub fn known_target(&self, database: &DatabaseName) -> Option<Target> {
         let directory = self.directory.borrow();
         Some(self.target(directory.member(database)?, true))
     }
 
-    /// A member as a target.
+    /// A member of the directory as a target.
     pub fn target(&self, member: &Member, leads: bool) -> Target {
         let announcement = &member.announcement;
         let expected_ms = self.expected_latency_ms(member);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A database as this node uses it. One at another address than before begins anew.
+    /// The pool and health of a database. They are created anew if the database's address has changed.
     fn state(
         &self,
         name: &DatabaseName,
@@ -88,18 +88,18 @@
         state
     }
 
-    /// How far a member is from this node.
+    /// Distance between this node and a member, by region and zone.
     pub fn distance(&self, member: &Member) -> Distance {
         let place = self.cx.settings.locality(&member.announcement.zone);
         Distance::between(&self.cx.settings.own_locality(), &place)
     }
 
-    /// The latency to expect of a statement at a member without load, in milliseconds.
+    /// Expected latency of a statement at a member without load, in milliseconds.
     pub fn expected_latency_ms(&self, member: &Member) -> f64 {
         choose::expected_latency_ms(self.distance(member))
     }
 
-    /// Where a database runs, if it is known.
+    /// Region and zone of a database; `None` if the directory lacks it.
     pub fn locality_of(&self, database: &DatabaseName) -> Option<Locality> {
         let directory = self.directory.borrow();
         let zone = &directory.member(database)?.announcement.zone;
--- a/crates/dyketally-gateway/tests/reach.rs
+++ b/crates/dyketally-gateway/tests/reach.rs
@@ -1,4 +1,4 @@
-//! How long statements wait for a primary that can't be used.
+//! Tests how long statements wait for a primary that can't be used.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const PAUSE: Duration = Duration::from_millis(400);
 
-/// Attempts each 0.4 s: the primary is waited for until 1.5 s after the first of them.
+/// With one attempt every 0.4 s, statements wait for the primary until 1.5 s after the first attempt.
 #[rstest]
 #[case(0, false)]
 #[case(1, false)]
@@ -19,45 +19,48 @@
 #[tokio::test(start_paused = true)]
 async fn a_primary_is_unavailable_once_attempts_failed_for_long(
     #[case] attempts: u32,
-    #[case] out_of_reach: bool,
+    #[case] unavailable: bool,
 ) {
-    let unled = PrimaryAvailability::default();
+    let availability = PrimaryAvailability::default();
     for _ in 0..attempts {
-        unled.attempt_failed();
-        assert!(unled.wait_until(Instant::now() + PAUSE * 9) > Instant::now());
+        availability.attempt_failed();
+        assert!(availability.wait_until(Instant::now() + PAUSE * 9) > Instant::now());
         advance(PAUSE).await;
     }
-    unled.attempt_failed();
-    assert_eq!(wait::is_unavailable(unled.missing_for()), out_of_reach);
+    availability.attempt_failed();
+    assert_eq!(
+        wait::is_unavailable(availability.missing_for()),
+        unavailable
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_ends_it() {
-    let unled = PrimaryAvailability::default();
+async fn an_answer_ends_the_unavailability() {
+    let availability = PrimaryAvailability::default();
     for _ in 0..9 {
-        unled.attempt_failed();
+        availability.attempt_failed();
         advance(PAUSE).await;
     }
-    assert!(wait::is_unavailable(unled.missing_for()));
-    unled.answered();
-    assert!(!wait::is_unavailable(unled.missing_for()));
+    assert!(wait::is_unavailable(availability.missing_for()));
+    availability.answered();
+    assert!(!wait::is_unavailable(availability.missing_for()));
 }
 
-/// Two losses that lie apart are two: the second primary is waited for as long as the first.
+/// Failed attempts that lie far apart belong to separate losses: statements wait for the primary in full again.
 #[tokio::test(start_paused = true)]
 async fn a_loss_long_ago_doesnt_shorten_the_next_wait() {
-    let unled = PrimaryAvailability::default();
-    unled.attempt_failed();
+    let availability = PrimaryAvailability::default();
+    availability.attempt_failed();
     advance(PAUSE * 9).await;
-    unled.attempt_failed();
-    assert!(!wait::is_unavailable(unled.missing_for()));
+    availability.attempt_failed();
+    assert!(!wait::is_unavailable(availability.missing_for()));
     let latest = Instant::now() + PAUSE * 9;
-    assert!(unled.wait_until(latest) > Instant::now() + PAUSE * 3);
+    assert!(availability.wait_until(latest) > Instant::now() + PAUSE * 3);
 }
 
 #[tokio::test(start_paused = true)]
-async fn nobody_waits_past_the_statements_time() {
-    let unled = PrimaryAvailability::default();
+async fn a_wait_never_exceeds_the_statements_time() {
+    let availability = PrimaryAvailability::default();
     let latest = Instant::now() + PAUSE / 10;
-    assert_eq!(unled.wait_until(latest), latest);
+    assert_eq!(availability.wait_until(latest), latest);
 }
