--- a/crates/dyketally-gateway/src/database/pool/path.rs
+++ b/crates/dyketally-gateway/src/database/pool/path.rs
@@ -44,7 +44,7 @@
         self.path.address
     }
 
-    /// Opens connections through the node at `forwarder` for the next [`FORWARDER_LIFETIME`]. Idle connections use
+    /// Opens connections through the node at `forwarder` for the next `FORWARDER_LIFETIME`. Idle connections use
     /// the broken direct path, so they are closed.
     pub fn forward_by(&self, forwarder: SocketAddr) {
         if self.path.forwarder.get().is_none() {
--- a/crates/dyketally-gateway/src/database/pool/size.rs
+++ b/crates/dyketally-gateway/src/database/pool/size.rs
@@ -12,7 +12,7 @@
 /// and close connections within seconds, so the refusal soon no longer tells how many the database accepts.
 const REFUSAL_LIFETIME: Duration = Duration::from_secs(2);
 /// One in this many connections is reserved for single statements. Without the reserve, idle transactions took
-/// all connections of a home and single statements waited behind them. A simulated day with 120 such callers
+/// all connections of a home and single statements waited behind them. A benchmark day with 120 such callers
 /// earned the same share of request value, 0.948, with and without the reserve.
 const RESERVED_ONE_IN: u32 = 4;
 
