--- a/crates/dyketally-gateway/src/store/feed/contact.rs
+++ b/crates/dyketally-gateway/src/store/feed/contact.rs
@@ -1,6 +1,7 @@
-//! How lately a relay had replies of the store and of most nodes, which counts for its followers.
+//! The contact that a relay reports to its followers: how long ago the store and a majority of the nodes last
+//! replied to it. A follower counts this as its own contact.
 //!
-//! Owns nothing; relies on this node's contact and on the fences that stand here.
+//! Owns nothing; relies on this node's contact and on the fences that are set at this node.
 
 use dyketally::time::Timestamp;
 use std::time::Duration;
@@ -8,13 +9,13 @@
 use super::Feed;
 use super::message::RelayContact;
 
-/// Age of a relay's contact with the store from which on the store counts as failing for its followers
-/// as well; a relay renews its lease each 0.7 s. Not measured.
-const RELAY_LOST_STORE: Duration = Duration::from_millis(1_800);
+/// Age of a relay's contact with the store from which on its followers treat the store as failing. A relay renews
+/// its lease every 0.7 s, so its contact is normally younger.
+const STORE_FAILING_AFTER: Duration = Duration::from_millis(1_800);
 
 impl Feed {
-    /// This node's contact, for the nodes that follow it. A node that catches up may lack updates, so it
-    /// reports none.
+    /// This node's contact, as reported to its followers. A node that hasn't held contact for long enough may
+    /// still lack updates, so it reports no contact.
     pub(super) fn relay_contact(&self) -> RelayContact {
         let now = self.cx.now();
         let contact = self.cx.contact.borrow_mut();
@@ -26,12 +27,13 @@
         }
     }
 
-    /// Records the contact of a relay that was asked at `asked`: what had reached it by then has reached
-    /// this node, too. While this node is the failover coordinator only its own calls count.
-    pub(super) fn receive_relay_contact(&self, asked: Timestamp, relayed: RelayContact) {
+    /// Records the contact that a relay reported in reply to a ping sent at `ping_sent`. Everything that the relay
+    /// had received by then has also reached this node, so the reported ages count from that time. While this node
+    /// is the failover coordinator, only its own calls count as contact.
+    pub(super) fn receive_relay_contact(&self, ping_sent: Timestamp, relayed: RelayContact) {
         self.databases.heard_of_fences(relayed.fenced, "a relay");
         match relayed.store {
-            Some(age) if age < RELAY_LOST_STORE => self.cx.store_health.replied(),
+            Some(age) if age < STORE_FAILING_AFTER => self.cx.store_health.replied(),
             Some(_) | None => self.cx.store_health.failed(),
         }
         if self.fleet.coordinator.last_term().is_some() {
@@ -40,10 +42,13 @@
         if let Some(age) = relayed.store
             && !self.cx.stop.is_stopping()
         {
-            self.cx.contact.store_replied(asked - age);
+            self.cx.contact.store_replied(ping_sent - age);
         }
         if let Some(age) = relayed.majority {
-            self.cx.contact.borrow_mut().majority_replied(asked - age);
+            self.cx
+                .contact
+                .borrow_mut()
+                .majority_replied(ping_sent - age);
         }
     }
 }
--- a/crates/dyketally-gateway/src/store/feed/copies.rs
+++ b/crates/dyketally-gateway/src/store/feed/copies.rs
@@ -1,6 +1,6 @@
-//! This node's copies of all subjects, and what is sent of them to the nodes that follow this one.
+//! This node's copies of all subjects, and the messages about them that are sent to its followers.
 //!
-//! Owns the copies and the channel of changes; relies on [`Copy`] for a single one.
+//! Owns the copies and the broadcast channel of changes; relies on [`SubjectCopy`] for the copy of one subject.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,40 +11,40 @@
 use tokio::sync::{Notify, broadcast};
 use tokio::time::Instant;
 
-use super::copy::{Copy, OwnWatch};
+use super::copy::{OwnWatch, SubjectCopy};
 use super::message::{Digest, FeedMessage, Patch, encode};
 use super::subject::{SUBJECTS, Subject};
-use super::updates::PassedOn;
+use super::updates::SentUpdate;
 use crate::event::Form;
 use dyketally_store::update::StoreUpdate;
 
-/// How long a watch that was lost counts as one that is being renewed, which takes two calls. Not
-/// measured.
-const WATCH_RENEWED_WITHIN: Duration = Duration::from_secs(1);
-/// Changes that a slow follower may be behind before it has to begin anew. Not measured.
-const CHANGES_KEPT: usize = 256;
+/// How long a lost watch counts as being reopened, which takes two calls to the store: a read and a watch.
+const WATCH_REOPENED_WITHIN: Duration = Duration::from_secs(1);
+/// Number of changes that a slow follower may lag behind; beyond it the follower has to reconnect and receive
+/// everything again.
+const CHANGE_BUFFER: usize = 256;
 
-/// The copies, by subject.
+/// This node's copies, by subject.
 pub(super) struct Copies {
-    by_subject: RefCell<HashMap<Subject, Copy>>,
+    by_subject: RefCell<HashMap<Subject, SubjectCopy>>,
     changes: broadcast::Sender<Bytes>,
-    /// Notified when this node has read another subject.
+    /// Notified each time this node has read a subject from the store.
     pub(super) subject_read: Notify,
 }
 
 impl Default for Copies {
     fn default() -> Self {
         Self {
-            by_subject: RefCell::new(SUBJECTS.map(|it| (it, Copy::default())).into()),
-            changes: broadcast::Sender::new(CHANGES_KEPT),
+            by_subject: RefCell::new(SUBJECTS.map(|it| (it, SubjectCopy::default())).into()),
+            changes: broadcast::Sender::new(CHANGE_BUFFER),
             subject_read: Notify::new(),
         }
     }
 }
 
 impl Copies {
-    /// Applies an update, and sends a change on to followers.
-    pub(super) fn apply(&self, subject: Subject, update: &StoreUpdate) -> Option<PassedOn> {
+    /// Applies an update to the copy of `subject`, and sends a single change to all followers; returns what was sent.
+    pub(super) fn apply(&self, subject: Subject, update: &StoreUpdate) -> Option<SentUpdate> {
         let mut copies = self.by_subject.borrow_mut();
         let copy = copies.entry(subject).or_default();
         match update {
@@ -53,27 +53,29 @@
                 None
             }
             StoreUpdate::Changed(event) => {
-                let message = self.has_followers().then(|| copy.message(subject, event));
-                copy.change(event);
+                let message = self
+                    .has_followers()
+                    .then(|| copy.change_message(subject, event));
+                copy.apply(event);
                 drop(copies);
                 let message = message?;
                 let form = match message {
                     FeedMessage::Patched { .. } => Form::Difference,
                     _ => Form::Change,
                 };
-                Some(self.send(form, encode(&message)?))
+                Some(self.broadcast(form, encode(&message)?))
             }
         }
     }
 
-    /// The entry that a difference to this node's copy stands for; `None` if it was made for another
-    /// version.
-    pub(super) fn patched(&self, subject: Subject, patch: &Patch) -> Option<Entry> {
+    /// The new entry that results from `patch`; `None` if the patch was made for a version of the entry that this
+    /// node doesn't have.
+    pub(super) fn patched_entry(&self, subject: Subject, patch: &Patch) -> Option<Entry> {
         let copies = self.by_subject.borrow();
         let old = copies.get(&subject)?.entries.get(&patch.entry.key)?;
         let value = match old.modified == patch.from {
             true => patch.delta.apply(&old.value)?,
-            // A copy that was sent while the change was under way has it already.
+            // A snapshot that was sent after the change already contains it.
             false if old.modified >= patch.entry.modified => return Some(old.clone()),
             false => return None,
         };
@@ -83,7 +85,7 @@
         })
     }
 
-    /// What followers are sent from now on.
+    /// Subscribes a follower's connection to all changes from now on.
     pub(super) fn subscribe(&self) -> broadcast::Receiver<Bytes> {
         self.changes.subscribe()
     }
@@ -92,32 +94,32 @@
         self.changes.receiver_count() > 0
     }
 
-    fn send(&self, form: Form, message: Bytes) -> PassedOn {
+    fn broadcast(&self, form: Form, message: Bytes) -> SentUpdate {
         let bytes = message.len();
-        // The last follower may just have left.
+        // Sending fails if the last follower has just disconnected.
         let followers = self.changes.send(message).unwrap_or_default();
-        PassedOn {
+        SentUpdate {
             form,
             bytes,
             followers,
         }
     }
 
-    /// Records that this node read a subject from the store at `revision` and watches it; what its
-    /// followers are sent since they may lack something.
+    /// Records that this node read a subject from the store at `revision` and watches it from there. Returns what
+    /// was sent to its followers, which may lack changes that were made before.
     pub(super) fn watch_established(
         &self,
         subject: Subject,
         revision: StoreRevision,
-    ) -> Option<PassedOn> {
+    ) -> Option<SentUpdate> {
         let mut copies = self.by_subject.borrow_mut();
         let copy = copies.entry(subject).or_default();
         copy.complete_to = revision;
         copy.encoded = None;
-        copy.watch = OwnWatch::Stands;
+        copy.watch = OwnWatch::Active;
         self.subject_read.notify_waiters();
-        // Followers lack what changed while this node's former watch was lost.
-        let differs = std::mem::take(&mut copy.differs_from_followers);
+        // Followers didn't receive the changes made while this node's previous watch was lost.
+        let differs = std::mem::take(&mut copy.has_unsent_changes);
         drop(copies);
         let known = match differs {
             true => Vec::new(),
@@ -126,27 +128,27 @@
         if !self.has_followers() {
             return None;
         }
-        let message = self.whole_unless_known(subject, &known)?;
-        Some(self.send(Form::Copy, message))
+        let message = self.snapshot_unless_known(subject, &known)?;
+        Some(self.broadcast(Form::Copy, message))
     }
 
-    /// Records that this node's own watch of a subject was lost or given up.
+    /// Records that this node's own watch of a subject was lost or closed.
     pub(super) fn watch_lost(&self, subject: Subject) {
         let mut copies = self.by_subject.borrow_mut();
         copies.entry(subject).or_default().watch = OwnWatch::LostAt(Instant::now());
     }
 
-    /// True once this node has read and watched all subjects itself.
+    /// True once this node has opened a watch of its own on every subject, even if it was lost since.
     pub(super) fn were_all_watched(&self) -> bool {
-        self.all_watches(|watch| !matches!(watch, OwnWatch::NotYet(_)))
+        self.all_watches(|watch| !matches!(watch, OwnWatch::NotOpened(_)))
     }
 
-    /// True while this node watches all subjects itself, or is about to watch them again.
+    /// True while this node watches all subjects itself, or is reopening a watch that was lost a moment ago.
     pub(super) fn are_all_watched(&self) -> bool {
         self.all_watches(|watch| match watch {
-            OwnWatch::NotYet(_) => false,
-            OwnWatch::Stands => true,
-            OwnWatch::LostAt(at) => at.elapsed() < WATCH_RENEWED_WITHIN,
+            OwnWatch::NotOpened(_) => false,
+            OwnWatch::Active => true,
+            OwnWatch::LostAt(at) => at.elapsed() < WATCH_REOPENED_WITHIN,
         })
     }
 
@@ -157,31 +159,31 @@
             .all(|subject| copies.get(subject).is_some_and(|copy| holds(copy.watch)))
     }
 
-    /// How long some watch of this node's hasn't stood; `None` while all of them do.
-    pub(super) fn watches_missing_for(&self) -> Option<Duration> {
+    /// The longest time for which one of this node's watches has been inactive; `None` while all are active.
+    pub(super) fn watches_inactive_for(&self) -> Option<Duration> {
         let copies = self.by_subject.borrow();
         copies
             .values()
-            .filter_map(|copy| copy.watch.missing_for())
+            .filter_map(|copy| copy.watch.inactive_for())
             .max()
     }
 
-    /// The revision of the last change of a subject that is known.
+    /// The store revision of the last change of a subject that this node has received.
     pub(super) fn revision(&self, subject: Subject) -> StoreRevision {
         let copies = self.by_subject.borrow();
         let copy = copies.get(&subject);
         copy.map_or(StoreRevision::default(), |copy| copy.revision)
     }
 
-    /// When a key was put last, if it is there.
+    /// The store revision at which a key was last written; `None` if the copy lacks the key.
     pub(super) fn modified(&self, subject: Subject, key: &Key) -> Option<StoreRevision> {
         let copies = self.by_subject.borrow();
         let entry = copies.get(&subject)?.entries.get(key)?;
         Some(entry.modified)
     }
 
-    /// The digest of the copy of a subject, if there is one that may stand in for another node's. A list
-    /// of the announcements also tells that it was read, so that one is always sent.
+    /// The digest of the copy of a subject; `None` for subjects that are always sent in full. A snapshot of the
+    /// announcements also shows that they have been read, so it is sent even if the follower has the same entries.
     fn digest(&self, subject: Subject) -> Option<Digest> {
         if subject == Subject::Announcements {
             return None;
@@ -191,14 +193,15 @@
         Some(Digest::of(copy.entries.values()))
     }
 
-    /// The digests of all copies that may stand in for another node's.
+    /// The digests of all copies that needn't be sent to a node with the same digest.
     pub(super) fn digests(&self) -> Vec<(Subject, Digest)> {
         let digests = SUBJECTS.map(|subject| Some((subject, self.digest(subject)?)));
         digests.into_iter().flatten().collect()
     }
 
-    /// What a follower that has copies of `known` digests is sent of a subject.
-    pub(super) fn whole_unless_known(
+    /// The message by which a follower gets a subject in full: a snapshot, or `Unchanged` if the follower reported
+    /// the same digest in `known`.
+    pub(super) fn snapshot_unless_known(
         &self,
         subject: Subject,
         known: &[(Subject, Digest)],
@@ -206,7 +209,7 @@
         let digest = self.digest(subject);
         let is_known = digest.is_some_and(|digest| known.contains(&(subject, digest)));
         if !is_known {
-            return self.whole(subject);
+            return self.snapshot(subject);
         }
         let copies = self.by_subject.borrow();
         let copy = copies.get(&subject)?;
@@ -216,12 +219,12 @@
         })
     }
 
-    /// All of a subject as it is sent to followers.
-    fn whole(&self, subject: Subject) -> Option<Bytes> {
+    /// The encoded snapshot of a subject; it is kept until the copy changes.
+    fn snapshot(&self, subject: Subject) -> Option<Bytes> {
         let mut copies = self.by_subject.borrow_mut();
         let copy = copies.entry(subject).or_default();
         if copy.encoded.is_none() {
-            copy.encoded = encode(&FeedMessage::Whole {
+            copy.encoded = encode(&FeedMessage::Snapshot {
                 subject,
                 complete_to: copy.revision.max(copy.complete_to),
                 entries: copy.entries.values().cloned().collect(),
--- a/crates/dyketally-gateway/src/store/feed/copy.rs
+++ b/crates/dyketally-gateway/src/store/feed/copy.rs
@@ -1,5 +1,5 @@
-//! A node's copy of one subject: its entries, how current they are, and changes as differences to it. Relies
-//! on nothing else of the feed but its messages.
+//! A node's copy of one subject: its entries, the revision they are complete to, and the messages that describe
+//! changes to it. Relies only on the feed's messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,68 +12,68 @@
 use super::message::{Digest, FeedMessage, Patch};
 use super::subject::Subject;
 
-/// Values from this length on are sent as differences to the version before, in bytes: shorter ones
-/// fit into one packet anyway. Not measured.
-const PATCHED_FROM: usize = 1_024;
+/// Length in bytes from which on a changed value is sent as the difference to its previous version. Shorter
+/// values fit into one packet anyway.
+const MIN_PATCHED_BYTES: usize = 1_024;
 
 /// This node's copy of one subject.
 #[derive(Debug, Default)]
-pub(super) struct Copy {
+pub(super) struct SubjectCopy {
     pub(super) entries: BTreeMap<Key, Entry>,
-    /// The revision of the last change that is known.
+    /// The store revision of the last change that this node has received.
     pub(super) revision: StoreRevision,
-    /// The store's revision up to which this copy lacks nothing.
+    /// The store revision up to which this copy is complete, deletions included.
     pub(super) complete_to: StoreRevision,
     pub(super) watch: OwnWatch,
-    /// True when a read brought something that wasn't sent to followers as a change.
-    pub(super) differs_from_followers: bool,
-    /// All of it as it is sent to followers, until it changes.
+    /// True when a read from the store returned changes that weren't sent to followers.
+    pub(super) has_unsent_changes: bool,
+    /// The encoded snapshot of this copy; `None` after a change until it is needed again.
     pub(super) encoded: Option<Bytes>,
 }
 
-/// This node's own watch of a subject.
+/// The state of this node's own watch of a subject.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum OwnWatch {
-    /// It hasn't stood yet, since this node started then. Not to count that as missing left a relay without
-    /// updates for as long as its lease was renewed: its first read was refused, so it had nothing to lose,
-    /// and it followed nobody.
-    NotYet(Instant),
-    Stands,
+    /// The watch hasn't been opened since the node started at this time. This counts as inactive, too: otherwise a
+    /// relay whose first read is refused has no watch to lose, follows no other relay, and gets no updates for as
+    /// long as its lease is renewed.
+    NotOpened(Instant),
+    Active,
     LostAt(Instant),
 }
 
 impl Default for OwnWatch {
     fn default() -> Self {
-        Self::NotYet(Instant::now())
+        Self::NotOpened(Instant::now())
     }
 }
 
 impl OwnWatch {
-    /// For how long it hasn't stood; `None` while it does.
-    pub(super) fn missing_for(self) -> Option<Duration> {
+    /// How long the watch has been inactive; `None` while it is active.
+    pub(super) fn inactive_for(self) -> Option<Duration> {
         match self {
-            Self::Stands => None,
-            Self::NotYet(since) | Self::LostAt(since) => Some(since.elapsed()),
+            Self::Active => None,
+            Self::NotOpened(since) | Self::LostAt(since) => Some(since.elapsed()),
         }
     }
 }
 
-impl Copy {
+impl SubjectCopy {
     pub(super) fn replace(&mut self, entries: &[Entry]) {
         self.encoded = None;
-        let before = Digest::of(self.entries.values());
+        let digest_before = Digest::of(self.entries.values());
         self.entries = entries
             .iter()
             .map(|it| (it.key.clone(), it.clone()))
             .collect();
-        self.differs_from_followers |= before != Digest::of(self.entries.values());
+        self.has_unsent_changes |= digest_before != Digest::of(self.entries.values());
         let newest = entries.iter().map(|entry| entry.modified).max();
         self.revision = self.revision.max(newest.unwrap_or_default());
     }
 
-    /// What followers that have this copy are sent of a change that it doesn't have yet: of a long value
-    /// only what is new.
-    pub(super) fn message(&self, subject: Subject, event: &WatchEvent) -> FeedMessage {
+    /// The message about a change that isn't applied to this copy yet, for followers that have the same copy. A
+    /// long value is sent as the difference to the previous one.
+    pub(super) fn change_message(&self, subject: Subject, event: &WatchEvent) -> FeedMessage {
         let patch = match event {
             WatchEvent::Put(entry) => self.patch(entry),
             WatchEvent::Deleted { .. } => None,
@@ -89,7 +89,7 @@
 
     fn patch(&self, entry: &Entry) -> Option<Patch> {
         let old = self.entries.get(&entry.key)?;
-        if entry.value.len() < PATCHED_FROM || old.modified >= entry.modified {
+        if entry.value.len() < MIN_PATCHED_BYTES || old.modified >= entry.modified {
             return None;
         }
         let delta = Delta::between(&old.value, &entry.value)?;
@@ -103,7 +103,7 @@
         })
     }
 
-    pub(super) fn change(&mut self, event: &WatchEvent) {
+    pub(super) fn apply(&mut self, event: &WatchEvent) {
         self.encoded = None;
         let revision = match event {
             WatchEvent::Put(entry) => {
--- a/crates/dyketally-gateway/src/store/feed/message.rs
+++ b/crates/dyketally-gateway/src/store/feed/message.rs
@@ -1,5 +1,5 @@
-//! What nodes send each other over a feed, and how it is encoded. Nodes of other builds read it: variants and
-//! fields keep their places.
+//! The messages between a relay and its followers, and their encoding. Nodes of other builds read them, and
+//! postcard identifies variants and fields by position: their order must not change.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::{Read, Write};
@@ -18,92 +18,91 @@
 
 pub use crate::context::contact::RelayContact;
 
-/// Messages from this length on are compressed, in bytes: a configuration may have hundreds of
-/// kilobytes, and a relay sends it to all of its followers. Not measured.
-const COMPRESSED_FROM: usize = 1_024;
-/// Longest message once it is expanded, in bytes; four times the longest value of a store.
-const EXPANDED_AT_MOST: u64 = 4 << 20;
+/// Length in bytes from which on a message is compressed: a configuration may have hundreds of kilobytes, and a
+/// relay sends it to all of its followers.
+const MIN_COMPRESSED_BYTES: usize = 1_024;
+/// Maximum length of a decompressed message in bytes; four times the longest value of a store.
+const MAX_EXPANDED_BYTES: u64 = 4 << 20;
 
-/// What a relay sends.
+/// A message from a relay to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedMessage {
-    /// All keys of a subject, and the store's revision up to which nothing is missing: a deletion
-    /// before it leaves no other trace.
-    Whole {
+    /// All keys of a subject. A key that was deleted is only missing from `entries`, so `complete_to` says up to
+    /// which store revision changes, deletions included, are contained.
+    Snapshot {
         /// The subject.
         subject: Subject,
-        /// That revision.
+        /// The store revision up to which the entries are complete.
         complete_to: StoreRevision,
-        /// The keys.
+        /// All keys of the subject with their values.
         entries: Vec<Entry>,
     },
     /// A key changed.
     Changed {
         /// The key's subject.
         subject: Subject,
-        /// The change.
+        /// The new entry, or the deletion.
         event: WatchEvent,
     },
-    /// The reply to a ping, and the first message of a relay.
+    /// The reply to a ping; also the first message that a relay sends on a connection.
     Pong {
-        /// The ping; zero in the first message.
+        /// The number of the ping; zero in the relay's first message.
         ping: u64,
-        /// How lately the store and most nodes replied to the relay.
+        /// How long ago the store and a majority of the nodes last replied to the relay.
         contact: RelayContact,
-        /// How long ago the relay's configuration was confirmed to be the newest one; `None` while it
-        /// never was.
+        /// How long ago the relay's configuration was last confirmed to be the newest one; `None` if it never was.
         configuration_age: Option<Duration>,
     },
-    /// The follower has all keys of a subject as they are, by its digest.
+    /// The follower's copy of a subject is current: the digest that it reported equals the relay's.
     Unchanged {
         /// The subject.
         subject: Subject,
-        /// The store's revision up to which nothing is missing.
+        /// The store revision up to which the copy is complete.
         complete_to: StoreRevision,
     },
-    /// A long value changed a little.
+    /// A long value changed; only the difference is sent.
     Patched {
         /// The key's subject.
         subject: Subject,
-        /// The change.
+        /// The difference to the previous version.
         patch: Patch,
     },
 }
 
-/// A change as the difference to the version of the key that the follower has.
+/// A change of a key, as the difference to the version that the follower has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patch {
-    /// When that version was put.
+    /// The store revision at which the follower's version was written.
     pub from: StoreRevision,
-    /// The new version, without its value.
+    /// The new entry, with an empty value.
     pub entry: Entry,
-    /// How to make the new value out of the old one.
+    /// The difference between the old value and the new one.
     pub delta: Delta,
 }
 
-/// What a follower sends.
+/// A message from a follower to its relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ping {
-    /// Counts up from one.
+    /// The number of the ping on this connection, starting at one.
     pub number: u64,
 }
 
-/// What a follower sends first: a ping, and what it has already.
+/// The first message from a follower: a ping, and the digests of the copies that it already has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FirstPing {
-    /// The ping.
+    /// The ping, with number one.
     pub ping: Ping,
     /// Digests of the follower's copies.
     pub known: Vec<(Subject, Digest)>,
 }
 
-/// Stands for the keys of a copy and the revisions at which they were put last. The hash may differ
-/// between builds, and the copy is then sent as a whole.
+/// A hash of the keys of a copy and the revisions at which they were last written. The hash function may differ
+/// between builds; the digests then differ and the subject is sent as a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest(pub u64);
 
 impl Digest {
-    /// The digest of a copy.
+    /// The digest of a copy with these entries, in the order of their keys.
     pub fn of<'a>(entries: impl Iterator<Item = &'a Entry>) -> Self {
         let mut hasher = DefaultHasher::new();
         for entry in entries {
@@ -114,10 +113,10 @@
     }
 }
 
-/// Encodes a message; `None` if it can't be.
+/// Encodes a message, compressed if it is long; `None` if it can't be encoded.
 pub fn encode(message: &impl Serialize) -> Option<Bytes> {
     let body = postcard::to_stdvec(message).ok()?;
-    let compressed = body.len() >= COMPRESSED_FROM;
+    let compressed = body.len() >= MIN_COMPRESSED_BYTES;
     let mut encoded = vec![u8::from(compressed)];
     if compressed {
         let mut encoder = DeflateEncoder::new(encoded, Compression::fast());
@@ -129,14 +128,14 @@
     Some(Bytes::from(encoded))
 }
 
-/// Decodes a message; `None` if it is none.
+/// Decodes a message; `None` if the bytes are no valid message of type `T`.
 pub fn decode<T: DeserializeOwned>(encoded: &[u8]) -> Option<T> {
     let (compressed, body) = encoded.split_first()?;
     if *compressed == 0 {
         return postcard::from_bytes(body).ok();
     }
     let mut expanded = Vec::new();
-    let mut decoder = DeflateDecoder::new(body).take(EXPANDED_AT_MOST);
+    let mut decoder = DeflateDecoder::new(body).take(MAX_EXPANDED_BYTES);
     decoder.read_to_end(&mut expanded).ok()?;
     postcard::from_bytes(&expanded).ok()
 }
--- a/crates/dyketally-gateway/src/store/feed/mod.rs
+++ b/crates/dyketally-gateway/src/store/feed/mod.rs
@@ -1,20 +1,21 @@
-//! Keys of the store passed on between nodes, so that in a large fleet not every node has to watch the
-//! store: in each zone a few relays do, and the others follow one of these over a link.
+//! Distributes the store's keys between nodes, so that in a large fleet not every node has to watch the store:
+//! in each zone a few relays watch it, and the other nodes follow one of these relays over a connection.
 //!
-//! A copy is never replaced by an older one: a relay whose copy is behind is passed over. A relay serves
-//! followers only while it follows no other relay itself, so a chain or a ring can't form. It also reports
-//! how lately the store and most nodes replied to it, which counts for its followers as well. A node that
-//! reaches no relay watches the store itself.
+//! A copy is never replaced by an older one: a relay whose copy is older than the follower's is excluded for a
+//! while. A relay has followers only while it follows no other relay itself, so chains and rings can't form. It
+//! also reports how long ago the store and a majority of the nodes last replied to it, which counts as the contact
+//! of its followers. A node that reaches no relay watches the store itself.
 //!
-//! [`Feed`] owns this node's copies and which relay it follows. It relies on the list of nodes (who the
-//! relays are), on the record of the failover coordinator (which watches the store itself), and on fences,
-//! which relays pass on with their replies to pings.
+//! [`Feed`] owns this node's copies and the choice of the relay that it follows. It relies on the list of nodes,
+//! which determines the relays, on the record of the failover coordinator, which watches the store itself, and on
+//! fences, which relays report with their replies to pings.
 
 mod contact;
 mod copies;
 mod copy;
 pub mod message;
-mod nearer;
+mod nearer_relay;
+
 pub mod pings;
 mod publisher;
 mod relays;
@@ -42,11 +43,11 @@
 use copies::Copies;
 use upstream::Upstream;
 
-/// Age of a relay's contact with the store from which on its followers look for another relay, and so
-/// does the relay itself. Not measured.
-const OUT_OF_TOUCH: Duration = Duration::from_secs(2);
+/// Age of a relay's contact with the store from which on it counts as lost: its followers look for another relay,
+/// and the relay itself looks for one to follow.
+const CONTACT_LOST_AGE: Duration = Duration::from_secs(2);
 
-/// What this node has of the store's keys, and from whom.
+/// This node's copies of the store's keys, and the relay that they come from, if any.
 pub struct Feed {
     cx: Rc<Context>,
     fleet: Rc<Fleet>,
@@ -67,24 +68,25 @@
         })
     }
 
-    /// True while others may follow this node: it has read and watched all subjects itself.
+    /// True while other nodes may follow this one: it follows no relay, and has opened a watch of its own on every
+    /// subject.
     fn is_publishing(&self) -> bool {
         !self.has_relay() && self.copies.were_all_watched()
     }
 
-    /// True while this node has its keys from the store itself.
+    /// True while this node gets all its updates from the store itself: it follows no relay and watches all subjects.
     pub fn is_current(&self) -> bool {
         !self.has_relay() && self.copies.are_all_watched()
     }
 
-    /// How long some watch of this node's has been missing; `None` while all of them stand, and while this
-    /// node follows a relay and never had to watch.
+    /// The longest time for which one of this node's watches of the store has been inactive; `None` while all are
+    /// active, and while this node follows a relay without ever having watched all subjects itself.
     pub fn watches_lost_for(&self) -> Option<Duration> {
-        let missing = self.copies.watches_missing_for();
-        missing.filter(|_| !self.has_relay() || self.copies.were_all_watched())
+        let inactive_for = self.copies.watches_inactive_for();
+        inactive_for.filter(|_| !self.has_relay() || self.copies.were_all_watched())
     }
 
-    /// Records that this node's own watch of a subject was lost or given up.
+    /// Records that this node's own watch of a subject was lost or closed.
     pub fn watch_lost(&self, subject: Subject) {
         self.copies.watch_lost(subject);
     }
@@ -94,15 +96,15 @@
         self.upstream.own_read_failed();
     }
 
-    /// True when this node follows a relay since its own watch was lost, or has to: some watch has been
-    /// lost for `limit`, and it isn't about to find out whether it can watch again. For that it has `limit`
-    /// once it has left a relay, or until a read fails.
-    fn is_stale_for(&self, limit: Duration) -> bool {
+    /// True when this node follows a relay because its own watch was lost, or needs one for that reason: one of its
+    /// watches has been inactive for `limit`, and it isn't trying to reopen it. After it left a relay it has `limit`
+    /// to reopen its watches, or less if a read fails.
+    fn has_lost_watch_for(&self, limit: Duration) -> bool {
         if self.has_relay() {
-            return self.upstream.has_stepped_back();
+            return self.upstream.replaces_own_watch();
         }
         let is_lost = self.watches_lost_for().is_some_and(|lost| lost >= limit);
-        is_lost && !self.upstream.tries_store(limit)
+        is_lost && !self.upstream.is_retrying_store(limit)
     }
 
     /// True when this node's copy of a subject has a key.
@@ -110,7 +112,7 @@
         self.modified(subject, key).is_some()
     }
 
-    /// When a key of this node's copy was put last, if it is there.
+    /// The store revision at which a key of this node's copy was last written; `None` if the copy lacks the key.
     pub fn modified(&self, subject: Subject, key: &Key) -> Option<StoreRevision> {
         self.copies.modified(subject, key)
     }
@@ -120,12 +122,12 @@
         self.upstream.is_subscribed()
     }
 
-    /// Where the relay that this node follows listens for other nodes.
+    /// The peer address of the relay that this node follows, if it follows one.
     pub fn relay(&self) -> Option<SocketAddr> {
         self.upstream.address()
     }
 
-    /// Waits until this node follows a relay if it follows none, and the other way round.
+    /// Waits until this node starts or stops following a relay.
     pub async fn relay_changes(&self) {
         self.upstream.changes().await;
     }
@@ -135,8 +137,8 @@
         self.upstream.until_subscribed().await;
     }
 
-    /// Waits until this node has to ask the store itself: it follows no relay, and found none for a while
-    /// if it followed one before.
+    /// Waits until this node has to read the store itself: it follows no relay and, if it followed one before, has
+    /// found no other within [`upstream::SEARCH_LIMIT`].
     pub async fn until_relay_lost(&self) {
         self.upstream.until_lost().await;
     }
--- a/crates/dyketally-gateway/src/store/feed/publisher.rs
+++ b/crates/dyketally-gateway/src/store/feed/publisher.rs
@@ -1,5 +1,5 @@
-//! The relay's side: sends copies and changes to one follower. Owns the connection; relies on the copies and
-//! on this node's contact, which a pong reports.
+//! The relay's side of a feed: sends snapshots and changes to one follower. Owns the connection; relies on the
+//! copies and on this node's contact, which each pong reports.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,27 +15,27 @@
 use super::subject::SUBJECTS;
 use crate::fleet::link::{Frames, frames};
 
-/// How long a follower is kept waiting while this node reads what it will pass on: less than a relay may
-/// be silent. Not measured.
-const COPIES_LIMIT: Duration = Duration::from_secs(2);
-/// How long a follower may take to say that it stays. Not measured.
-const FIRST_PING_LIMIT: Duration = Duration::from_secs(2);
-/// Kinds of messages, for counters.
+/// How long a new follower waits while this node still reads the subjects from the store. Shorter than the silence
+/// after which a follower gives up its relay.
+const READ_WAIT: Duration = Duration::from_secs(2);
+/// How long a follower may take to send its first ping, by which it says that it stays.
+const FIRST_PING_TIMEOUT: Duration = Duration::from_secs(2);
+// Kinds of messages in the counters of sent bytes.
 const PONG: &str = "feed_pong";
-const WHOLE: &str = "feed_whole";
+const SNAPSHOT: &str = "feed_whole";
 const CHANGES: &str = "feed_changes";
 
-/// Serves a node that follows this one, for as long as this one watches the store itself. A relay goes
-/// on while the store is lost, and says so in its pongs: that all its followers ask the store helps
-/// nobody.
+/// Sends a follower snapshots and changes for as long as this node follows no relay itself. A relay that has lost
+/// the store continues and reports the loss in its pongs: it wouldn't help if all its followers called the failing
+/// store instead.
 pub async fn serve(feed: Rc<Feed>, stream: TcpStream) {
-    // When many nodes start at once followers tend to come before their relay has read everything.
-    let copies = tokio::time::timeout(COPIES_LIMIT, feed.until_publishing());
-    if copies.await.is_err() || !feed.may_publish() {
+    // When many nodes start together, followers tend to connect before their relay has read all subjects.
+    let ready = tokio::time::timeout(READ_WAIT, feed.until_publishing());
+    if ready.await.is_err() || !feed.may_publish() {
         return;
     }
     if let Ok(follower) = stream.peer_addr() {
-        // The follower left, is too far behind, or is to follow another relay: it opens a new connection.
+        // The connection ends if the follower leaves or lags too far behind, or if this node stops being a relay.
         let publisher = Publisher {
             feed,
             follower,
@@ -45,7 +45,7 @@
     }
 }
 
-/// A connection that a follower opened.
+/// A connection opened by a follower.
 struct Publisher {
     feed: Rc<Feed>,
     follower: SocketAddr,
@@ -53,19 +53,19 @@
 }
 
 impl Publisher {
-    /// Sends copies, then changes and replies to pings. `None` when the connection can't be used further.
+    /// Sends snapshots, then changes and replies to pings; returns `None` when the connection has to be closed.
     async fn run(mut self) -> Option<()> {
-        // A follower that looks for a relay with contact to the store leaves after this, and shouldn't have
-        // been sent all the rest.
+        // The first pong reports this node's contact. A follower that needs a relay with contact to the store may
+        // leave on it, before any snapshot is sent.
         let pong = encode(&self.feed.pong(0));
         self.send(PONG, pong).await?;
         let ping = self.first_ping().await?;
-        // A follower of an older build doesn't send what it has.
+        // A follower of an older build sends no digests, so it gets snapshots of all subjects.
         let known = decode(&ping).map_or(Vec::new(), |first: FirstPing| first.known);
         let changes = self.feed.copies.subscribe();
         for subject in SUBJECTS {
-            let whole = self.feed.copies.whole_unless_known(subject, &known);
-            self.send(WHOLE, whole).await?;
+            let snapshot = self.feed.copies.snapshot_unless_known(subject, &known);
+            self.send(SNAPSHOT, snapshot).await?;
         }
         let pong = self.feed.reply_to(&ping);
         self.send(PONG, pong).await?;
@@ -73,16 +73,16 @@
     }
 
     async fn first_ping(&mut self) -> Option<BytesMut> {
-        let ping = tokio::time::timeout(FIRST_PING_LIMIT, self.frames.next());
+        let ping = tokio::time::timeout(FIRST_PING_TIMEOUT, self.frames.next());
         ping.await.ok()??.ok()
     }
 
     async fn send_changes(&mut self, mut changes: broadcast::Receiver<Bytes>) -> Option<()> {
         loop {
             let (kind, message) = tokio::select! {
-                // A pong says that all changes before it were sent.
+                // A pong tells the follower that all earlier changes were sent, so changes go first.
                 biased;
-                // A follower that is too far behind begins anew.
+                // Receiving fails if the follower lags too far behind: it reconnects and gets everything again.
                 change = changes.recv() => (CHANGES, Some(change.ok()?)),
                 ping = self.frames.next() => (PONG, self.feed.reply_to(&ping?.ok()?)),
             };
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sends a message; `None` if it can't be sent, or there is none.
+    /// Sends a message and counts its bytes; `None` if `message` is `None` or can't be sent.
     async fn send(&mut self, kind: &'static str, message: Option<Bytes>) -> Option<()> {
         let message = message?;
         self.feed
@@ -108,7 +108,7 @@
         self.is_publishing() && !self.cx.stop.is_stopping()
     }
 
-    /// Waits until this node has read all that it passes on, if it is a relay or may turn out to be one.
+    /// Waits until this node may have followers, as long as it is a relay or may turn out to be one.
     async fn until_publishing(&self) {
         let may_relay = || !self.fleet.membership.is_known() || self.is_relay();
         while !self.is_publishing() && !self.has_relay() && may_relay() {
--- a/crates/dyketally-gateway/src/store/feed/relays.rs
+++ b/crates/dyketally-gateway/src/store/feed/relays.rs
@@ -1,5 +1,5 @@
-//! Which nodes are relays, and which of them this node follows. Owns nothing; relies on the list of nodes, on
-//! whether this node is the failover coordinator, and on how current its own watches are.
+//! Determines which nodes are relays, and which of them this node may follow. Owns nothing; relies on the list of
+//! nodes, on whether this node is the failover coordinator, and on how long its own watches have been inactive.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,28 +8,28 @@
 use dyketally::identifiers::{NodeName, ZoneName};
 use dyketally::placement;
 
-use super::{Feed, OUT_OF_TOUCH};
+use super::{CONTACT_LOST_AGE, Feed};
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
 
-/// Longest time that connecting to a relay may take. Not measured.
+/// Timeout for connecting to a relay.
 pub(super) const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// Nodes up to which every node watches the store itself. Not measured.
-const SMALL_FLEET: usize = 12;
-/// Nodes of a zone that watch the store for the others: one may be lost. Not measured.
+/// Number of nodes up to which a fleet is small: every node watches the store itself.
+const SMALL_FLEET_NODES: usize = 12;
+/// Number of relays in each zone: with two, one may fail.
 const RELAYS_PER_ZONE: usize = 2;
-/// Relays of other zones that are followed when none of the own zone can be. Not measured.
-const FURTHER_RELAYS: usize = 2;
-/// Pause between two rounds of asking seeds. Not measured.
-const SEEDS_PAUSE: Duration = Duration::from_millis(250);
+/// Number of relays of other zones that a node may try when it can follow none of its own zone.
+const OTHER_ZONE_RELAYS: usize = 2;
+/// Pause between two requests to the seeds for relays.
+const SEED_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Feed {
-    /// True while every node watches the store itself.
+    /// True while the fleet is so small that every node watches the store itself.
     pub fn is_small_fleet(&self) -> bool {
-        self.fleet.membership.node_count() <= SMALL_FLEET
+        self.fleet.membership.node_count() <= SMALL_FLEET_NODES
     }
 
-    /// True when this node watches the store for others of its zone.
+    /// True when this node is a relay: it watches the store for the other nodes of its zone.
     pub fn is_relay(&self) -> bool {
         !self.is_small_fleet() && self.is_relay_of_zone()
     }
@@ -45,34 +45,34 @@
         relays.contains(&&self.cx.settings.node.name)
     }
 
-    /// True when this node is to have its updates from the store itself: it is a relay, or the failover
-    /// coordinator, whose contact rests on its own calls.
-    fn is_to_watch(&self) -> bool {
+    /// True when this node should get its updates from the store itself: it is a relay of its zone, or the failover
+    /// coordinator, for which only its own calls count as contact.
+    fn should_watch_store(&self) -> bool {
         self.fleet.coordinator.last_term().is_some() || self.is_relay_of_zone()
     }
 
-    /// True when there may be relays that this node should follow: it isn't to watch the store itself, or has
-    /// lost it or its own watches while others may not have. A coordinator that followed nobody kept an old
-    /// configuration for as long as its lease was renewed while the store refused what it read.
+    /// True when this node should follow a relay if there is one: it isn't meant to watch the store itself, or it has
+    /// lost the store or one of its watches, which other nodes may still have. This holds for the coordinator, too:
+    /// without a relay it would keep an old configuration while the store renews its lease but refuses its reads.
     pub fn may_follow_relays(&self) -> bool {
-        // That the store renews a lease doesn't show that updates arrive: a large configuration over a thin
-        // link may not, and the relay would act by an old one.
-        let is_current =
-            !self.cx.has_lost_store_for(OUT_OF_TOUCH) && !self.is_stale_for(OUT_OF_TOUCH);
-        let watches = self.is_to_watch() && is_current;
+        // A renewed lease doesn't show that updates arrive, too: a large configuration may not get through a slow
+        // link, and a relay that relied on its lease would keep using an old one.
+        let is_current = !self.cx.has_lost_store_for(CONTACT_LOST_AGE)
+            && !self.has_lost_watch_for(CONTACT_LOST_AGE);
+        let watches = self.should_watch_store() && is_current;
         !self.is_small_fleet() && !watches
     }
 
-    /// True for a node that is to watch the store, which replies to it. If it follows a relay since its own
-    /// watch was lost, it should see from time to time whether it can watch again.
-    pub(super) fn may_watch_again(&self) -> bool {
-        let watches = !self.is_small_fleet() && self.is_to_watch();
-        watches && !self.cx.has_lost_store_for(OUT_OF_TOUCH)
+    /// True when this node should watch the store itself and the store replies to it. If it follows a relay because
+    /// its own watch was lost, it tries to watch the store again from time to time.
+    pub(super) fn may_retry_watch(&self) -> bool {
+        let watches = !self.is_small_fleet() && self.should_watch_store();
+        watches && !self.cx.has_lost_store_for(CONTACT_LOST_AGE)
     }
 
-    /// Waits until it is clear that this node has no relay to follow. When the whole system starts
-    /// the list of the nodes is incomplete for a while, so then only a relay is sure of that.
-    pub async fn until_without_relay(&self) {
+    /// Waits until it is certain that this node has no relay to follow. At the first start of the whole system the
+    /// list of nodes is incomplete for a while, so only a relay can be certain then.
+    pub async fn until_no_relay_needed(&self) {
         loop {
             let changed = self.fleet.membership.nodes_changed.notified();
             let is_known = self.fleet.membership.is_known() && !self.cx.settings.node.first_start;
@@ -83,13 +83,13 @@
         }
     }
 
-    /// The relays that this node may follow, in the order of preference: those of its zone, then
-    /// some of others. None in a small fleet, and for a node that watches the store. While it isn't
-    /// known which nodes run, those that seeds named.
+    /// The relays that this node may follow, in order of preference: those of its zone, then some of other zones.
+    /// Empty in a small fleet and for a node that should watch the store. While the list of nodes is unknown, these
+    /// are the relays named by the seeds.
     pub(super) fn relays_to_follow(&self) -> Vec<SocketAddr> {
         let own = self.cx.settings.listen.peers;
         let usable =
-            |address: &SocketAddr| *address != own && !self.upstream.passed_over.contains(address);
+            |address: &SocketAddr| *address != own && !self.upstream.excluded.contains(address);
         match self.fleet.membership.is_known() {
             false => {
                 let named = self.fleet.membership.named_relays().into_iter();
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The usable relays of this node's zone, the best first; none while it should follow none.
+    /// The relays of this node's zone that it may follow, in order of preference; empty while it should follow none.
     pub(super) fn relays_of_own_zone(&self) -> Vec<SocketAddr> {
         if !self.fleet.membership.is_known() || !self.may_follow_relays() {
             return Vec::new();
@@ -119,7 +119,8 @@
             .collect()
     }
 
-    /// The relays that a node of `zone` may follow. In a small fleet any node's copy will do.
+    /// The peer addresses of the relays that a node of `zone` may follow. In a small fleet, which has no relays, this
+    /// node names itself if it can have followers.
     pub fn relays_for(&self, zone: &ZoneName) -> Vec<SocketAddr> {
         match self.is_small_fleet() {
             true if self.is_publishing() => vec![self.cx.settings.listen.peers],
@@ -128,8 +129,9 @@
         }
     }
 
-    /// The usable relays for a node of `zone`, best first: those of the zone, and a few of others, so
-    /// that a node which finds all of these out of touch tries further ones next.
+    /// The relays for a node of `zone` that `usable` accepts, in order of preference: those of the zone, then a few of
+    /// other zones. A node to which all of these are out of contact gets further ones at its next search, since the
+    /// first ones are excluded by then.
     fn ranked_relays(
         &self,
         zone: &ZoneName,
@@ -155,23 +157,23 @@
             known.map(|node| node.address).filter(&usable).collect()
         };
         let mut relays = ranked(&relays_of(zone));
-        relays.extend(ranked(&others).into_iter().take(FURTHER_RELAYS));
+        relays.extend(ranked(&others).into_iter().take(OTHER_ZONE_RELAYS));
         relays
     }
 }
 
-/// Asks seeds which relays there are until this node follows one, or knows which nodes run.
+/// Requests the relays from the seeds until this node follows one or has the list of nodes.
 pub async fn ask_seeds(feed: Rc<Feed>, peers: Rc<Peers>) {
     let message = PeerMessage::RelaysAsked {
         zone: feed.cx.settings.node.zone.clone(),
     };
     let seeds = feed.cx.settings.seeds();
-    // The store mostly answers sooner.
-    tokio::time::sleep(SEEDS_PAUSE).await;
+    // The store usually answers within this pause, and the seeds then needn't be asked.
+    tokio::time::sleep(SEED_REQUEST_INTERVAL).await;
     while !feed.fleet.membership.is_known() && !feed.has_relay() {
         for seed in &seeds {
             peers.send(*seed, &message);
         }
-        tokio::time::sleep(SEEDS_PAUSE).await;
+        tokio::time::sleep(SEED_REQUEST_INTERVAL).await;
     }
 }
--- a/crates/dyketally-gateway/src/store/feed/subject.rs
+++ b/crates/dyketally-gateway/src/store/feed/subject.rs
@@ -1,15 +1,15 @@
-//! The parts of the store that are passed on between nodes, each as a whole.
+//! The parts of the store's keys that a feed distributes; each is sent and watched separately.
 
 use serde::{Deserialize, Serialize};
 
-/// Which keys a message is about.
+/// The part of the store's keys that a message or a copy is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Subject {
     /// The operators' configuration.
     Configuration,
     /// The databases' announcements.
     Announcements,
-    /// The nodes' keys and the failover coordinator's.
+    /// The keys that nodes keep: their records, the failover coordinator's, and fences.
     Nodes,
 }
 
--- a/crates/dyketally-gateway/src/store/feed/subscriber.rs
+++ b/crates/dyketally-gateway/src/store/feed/subscriber.rs
@@ -1,6 +1,7 @@
-//! Follows relays on behalf of one node: one after the other, as long as there are any.
+//! Follows relays on behalf of this node, one at a time, as long as there are any.
 //!
-//! Owns the choice of the next relay; relies on `relays` for the candidates and on `subscription` for one.
+//! Owns the choice of the next relay; relies on `relays` for the candidates and on `subscription` for the connection
+//! to one relay.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -12,105 +13,111 @@
 
 use super::relays::CONNECT_LIMIT;
 use super::subject::Subject;
-use super::subscription::{Demand, Ended, Next, Subscription, SubscriptionParts};
+use super::subscription::{
+    NextSource, RelayRequirement, Subscription, SubscriptionContext, SubscriptionEnd,
+};
 use super::updates::UpdateHandler;
 use crate::event::Event;
 use crate::fleet::link::frames;
 use crate::fleet::opening::{self, Opening};
 use crate::store::parts::StoreParts;
 
-/// How long the store may take to show that it replies to this node. Not measured.
-const STORE_LIMIT: Duration = Duration::from_millis(400);
-/// Pause between two searches for a relay. Not measured.
+/// Timeout for the read that tests whether the store replies to this node.
+const STORE_TEST_TIMEOUT: Duration = Duration::from_millis(400);
+/// Longest pause between two searches for a relay.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Follows relays on behalf of one node.
+/// Follows relays on behalf of this node.
 pub struct Subscriber {
-    parts: SubscriptionParts,
+    context: SubscriptionContext,
     store: Rc<dyn KeyValueStore>,
 }
 
 impl Subscriber {
-    /// A subscriber that isn't running yet and will hand the updates of each subject to its handler.
+    /// A subscriber that isn't running yet; it will call the handler of a subject with each update of it.
     pub fn new(parts: StoreParts, handlers: HashMap<Subject, UpdateHandler>) -> Self {
-        let subscription = SubscriptionParts {
+        let subscription = SubscriptionContext {
             feed: parts.feed,
             handlers,
             own_key: parts.keys.node(),
-            was_in_touch_by_relay: Cell::new(false),
+            had_contact_through_relay: Cell::new(false),
         };
         Self {
-            parts: subscription,
+            context: subscription,
             store: parts.store,
         }
     }
 
     /// Follows relays while there are any, until the process ends.
     pub async fn run(self) {
-        let feed = &self.parts.feed;
+        let feed = &self.context.feed;
         loop {
-            match self.follow_all(Demand::InTouch).await {
-                Next::Nearer => continue,
-                Next::Store => feed.upstream.none_found(),
-                Next::Other => {}
+            match self.follow_each(RelayRequirement::InContact).await {
+                NextSource::NearerRelay => continue,
+                NextSource::Store => feed.upstream.none_found(),
+                NextSource::OtherRelay => {}
             }
-            // Relays that have all lost the store don't follow each other: none would serve the rest.
-            if !feed.is_relay() && self.follow_without_store().await == Next::Nearer {
+            // A relay that has lost the store doesn't follow another one that has: relays that follow others accept
+            // no followers, so the other nodes of the zone would be left without a relay.
+            if !feed.is_relay()
+                && self.follow_unless_store_replies().await == NextSource::NearerRelay
+            {
                 continue;
             }
             let changed = feed.fleet.membership.nodes_changed.notified();
-            // Either way it is time to look again.
+            // Notified or not, it is time to search again.
             let _ = tokio::time::timeout(SEARCH_INTERVAL, changed).await;
         }
     }
 
-    /// Follows any relay if the store doesn't reply to this node either. The store may turn some nodes
-    /// away and serve others.
-    async fn follow_without_store(&self) -> Next {
+    /// Follows any relay, even one without contact to the store, if the store doesn't reply to this node either. The
+    /// store may refuse some nodes and reply to others, so this node calls it before it settles for such a relay.
+    async fn follow_unless_store_replies(&self) -> NextSource {
         match self.store_replies().await {
             true => {
-                self.parts.feed.upstream.none_found();
-                Next::Other
+                self.context.feed.upstream.none_found();
+                NextSource::OtherRelay
             }
-            false => self.follow_all(Demand::Any).await,
+            false => self.follow_each(RelayRequirement::Any).await,
         }
     }
 
-    /// Follows one relay after the other until none is left, a nearer one has contact with the store, or
-    /// this node turns to the store itself.
-    async fn follow_all(&self, demand: Demand) -> Next {
-        for relay in self.parts.feed.relays_to_follow() {
-            match self.follow(relay, demand).await {
-                Next::Other => {}
+    /// Follows one relay after the other until none is left, a relay of this node's zone has contact with the store
+    /// again, or this node goes on to watch the store itself.
+    async fn follow_each(&self, requirement: RelayRequirement) -> NextSource {
+        for relay in self.context.feed.relays_to_follow() {
+            match self.follow(relay, requirement).await {
+                NextSource::OtherRelay => {}
                 next => return next,
             }
         }
-        Next::Other
+        NextSource::OtherRelay
     }
 
-    /// True when the store replies to this node; false without asking where it has no relay to leave
-    /// that to.
+    /// True when the store replies to this node. Without a relay that could be followed instead, the result isn't
+    /// needed: false is returned without a call to the store.
     async fn store_replies(&self) -> bool {
-        if self.parts.feed.relays_to_follow().is_empty() {
+        if self.context.feed.relays_to_follow().is_empty() {
             return false;
         }
-        let request = RangeRequest::stale(KeyRange::key(self.parts.own_key.clone()));
-        let read = tokio::time::timeout(STORE_LIMIT, self.store.range(request));
+        let request = RangeRequest::stale(KeyRange::key(self.context.own_key.clone()));
+        let read = tokio::time::timeout(STORE_TEST_TIMEOUT, self.store.range(request));
         matches!(read.await, Ok(Ok(_)))
     }
 
     /// Follows one relay until it is lost.
-    async fn follow(&self, relay: SocketAddr, demand: Demand) -> Next {
+    async fn follow(&self, relay: SocketAddr, requirement: RelayRequirement) -> NextSource {
         let opening = opening::open(relay, &Opening::Feed);
         let connected = tokio::time::timeout(CONNECT_LIMIT, opening).await;
         let ended = match connected {
             Ok(Ok(stream)) => {
-                let subscription = Subscription::new(&self.parts, relay, frames(stream), demand);
+                let subscription =
+                    Subscription::new(&self.context, relay, frames(stream), requirement);
                 subscription.run().await
             }
-            Ok(Err(_)) | Err(_) => Ended::failed("it can't be reached"),
+            Ok(Err(_)) | Err(_) => SubscriptionEnd::failed("the relay couldn't be connected to"),
         };
-        let feed = &self.parts.feed;
+        let feed = &self.context.feed;
         if feed.upstream.unsubscribe() {
             feed.cx.events.write(&Event::RelayLost {
                 relay: relay.to_string(),
@@ -118,7 +125,7 @@
             });
         }
         if !ended.may_be_followed_again {
-            feed.upstream.passed_over.add(relay);
+            feed.upstream.excluded.add(relay);
         }
         ended.next
     }
--- a/crates/dyketally-gateway/src/store/feed/updates.rs
+++ b/crates/dyketally-gateway/src/store/feed/updates.rs
@@ -1,5 +1,5 @@
-//! Updates that this node receives and sends on: from whom, how much at a time, and the log lines on
-//! each version of what operators write. Relies on the copies.
+//! Receives updates of subjects, applies them to this node's copies, and forwards them to its followers. Logs each
+//! version of the operators' configuration that is received or forwarded. Relies on the copies.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,15 +11,15 @@
 use crate::event::{Event, Form};
 use dyketally_store::update::StoreUpdate;
 
-/// Applies the updates of a subject to the rest of the process.
+/// Applies the updates of a subject to the other parts of the process.
 pub type UpdateHandler = Rc<dyn Fn(StoreUpdate)>;
 
-/// From whom an update came.
+/// The sender of an update, as logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The store itself.
     Store,
-    /// The relay at this address.
+    /// The relay with this peer address.
     Relay(SocketAddr),
 }
 
@@ -32,16 +32,16 @@
     }
 }
 
-/// A message that was handed to the connections of all followers.
+/// A message that was queued for the connections of all followers, as logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct PassedOn {
+pub(super) struct SentUpdate {
     pub(super) form: Form,
     pub(super) bytes: usize,
     pub(super) followers: usize,
 }
 
 impl Feed {
-    /// Applies an update to this node's copy, and sends it on to the nodes that follow this one.
+    /// Applies an update to this node's copy, and sends it to this node's followers.
     pub fn receive_update(
         &self,
         subject: Subject,
@@ -52,19 +52,19 @@
         if subject == Subject::Configuration {
             self.log_received(update, source, form);
         }
-        if let Some(passed_on) = self.copies.apply(subject, update) {
-            self.log_passed_on(subject, update.newest(), passed_on);
+        if let Some(sent) = self.copies.apply(subject, update) {
+            self.log_forwarded(subject, update.newest(), sent);
         }
     }
 
-    /// Records that this node read a subject from the store at `revision` and watches it.
+    /// Records that this node read a subject from the store at `revision` and watches it from there.
     pub fn watch_established(&self, subject: Subject, revision: StoreRevision) {
-        if let Some(passed_on) = self.copies.watch_established(subject, revision) {
-            self.log_passed_on(subject, revision, passed_on);
+        if let Some(sent) = self.copies.watch_established(subject, revision) {
+            self.log_forwarded(subject, revision, sent);
         }
     }
 
-    /// Logs the documents in `update` that are newer than this node's.
+    /// Logs each document in `update` that is newer than this node's copy.
     fn log_received(&self, update: &StoreUpdate, source: Source, form: Form) {
         let entries: &[Entry] = match update {
             StoreUpdate::All(entries) => entries,
@@ -85,13 +85,13 @@
         }
     }
 
-    fn log_passed_on(&self, subject: Subject, stored: StoreRevision, passed_on: PassedOn) {
+    fn log_forwarded(&self, subject: Subject, stored: StoreRevision, sent: SentUpdate) {
         if subject == Subject::Configuration {
             self.cx.events.write(&Event::ConfigurationPassedOn {
                 stored: stored.0,
-                form: passed_on.form,
-                bytes: passed_on.bytes,
-                followers: passed_on.followers,
+                form: sent.form,
+                bytes: sent.bytes,
+                followers: sent.followers,
             });
         }
     }
--- a/crates/dyketally-gateway/src/store/watch/first_read.rs
+++ b/crates/dyketally-gateway/src/store/watch/first_read.rs
@@ -53,7 +53,7 @@
             }
             tokio::select! {
                 () = feed.until_subscribed() => return None,
-                () = feed.until_without_relay() => return read_at,
+                () = feed.until_no_relay_needed() => return read_at,
                 () = tokio::time::sleep_until(self.next_read(until)) => {}
             }
             if Instant::now() >= until {
--- a/crates/dyketally-gateway/tests/feed_upstream.rs
+++ b/crates/dyketally-gateway/tests/feed_upstream.rs
@@ -1,10 +1,9 @@
-//! When a node that followed a relay asks the store itself.
+//! When a node that followed a relay reads the store itself.
 //!
-//! A node that turns out to be a relay leaves the one it followed, and has nobody else to look for: it says so
-//! in the same turn. Its watchers began to listen for that only once they had seen that the relay was left,
-//! which was too late, so each time the node was without updates for as long as a search for another
-//! relay may take. In the log of such a node: `relay_lost` at 10,771 ms, its first read of the store at
-//! 12,272 ms.
+//! A node that becomes a relay leaves the one it followed and reports at once that there is no other to search for.
+//! If its watchers listen for that report only after they have seen the loss of the relay, they miss it, and the node
+//! has no updates for the whole search limit of 1.5 s. The log of such a node had `relay_lost` at 10,771 ms and its
+//! first read of the store at 12,272 ms.
 
 use std::net::SocketAddr;
 
@@ -20,7 +19,7 @@
     upstream.subscribe(relay(), || false);
     let began = tokio::time::Instant::now();
     let leaves = async {
-        // The watcher listens by now.
+        // `until_lost` has started to wait by now.
         tokio::task::yield_now().await;
         upstream.unsubscribe();
         upstream.none_found();
--- a/crates/dyketally-gateway/tests/feed_wire.rs
+++ b/crates/dyketally-gateway/tests/feed_wire.rs
@@ -1,8 +1,8 @@
-//! Bytes that relays and their followers send each other over a feed.
+//! The encoding of the messages between a relay and its followers.
 //!
-//! Nodes of two builds run side by side while a release rolls out, so neither a variant nor a field may
-//! move: `postcard` numbers variants and writes fields in their order, without names. Each fixture is
-//! read back as well, as a node of an older build would have sent it.
+//! Nodes of two builds run side by side while a release rolls out, so the order of variants and fields must not
+//! change: `postcard` numbers variants and writes fields in order, without names. Each fixture is decoded, too, as if
+//! a node of an older build had sent it.
 
 use std::fmt::Debug;
 use std::io::Read;
@@ -25,7 +25,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The bytes that `text` gives in hex, whose spaces and lines don't count.
+/// Decodes hexadecimal digits; white space is ignored.
 fn bytes(text: &str) -> Vec<u8> {
     let digits: String = text.split_whitespace().collect();
     let pairs = (0..digits.len()).step_by(2);
@@ -38,7 +38,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Checks that `message` is sent as `fixture`, and that `fixture` is read as `message`.
+/// Checks that `message` is encoded as `fixture`, and that `fixture` is decoded as `message`.
 #[track_caller]
 fn pin<T: Serialize + DeserializeOwned + PartialEq + Debug>(message: &T, fixture: &str) {
     let expected = bytes(fixture);
@@ -46,7 +46,7 @@
     assert_eq!(
         hex(&encoded),
         hex(&expected),
-        "{message:?} is sent otherwise"
+        "{message:?} is not encoded as its fixture"
     );
     assert_eq!(decode(&expected).as_ref(), Some(message), "{fixture}");
 }
@@ -64,12 +64,12 @@
 fn feed_messages() -> Vec<(FeedMessage, &'static str)> {
     vec![
         (
-            FeedMessage::Whole {
+            FeedMessage::Snapshot {
                 subject: Subject::Configuration,
                 complete_to: StoreRevision(301),
                 entries: vec![entry("a/b", b"{}", None), entry("c", b"", Some(LeaseId(5)))],
             },
-            // no compression; variant 0; subject 0; 301; two entries
+            // uncompressed; variant 0; subject 0; revision 301; two entries
             "00 00 00 ad02 02
              03 612f62 02 7b7d 07 ac02 00
              01 63 00 07 ac02 01 0a",
@@ -99,7 +99,7 @@
                 contact: RelayContact::default(),
                 configuration_age: None,
             },
-            // variant 2; ping 0; neither store nor majority, no fences; never confirmed
+            // variant 2; ping 0; no contact with store or majority; no fences; configuration never confirmed
             "00 02 00 00 00 00 00",
         ),
         (
@@ -116,7 +116,7 @@
                 },
                 configuration_age: Some(Duration::from_secs(3)),
             },
-            // each duration: whole seconds, then nanoseconds
+            // variant 2; ping 9; each duration as whole seconds, then nanoseconds
             "00 02 09
              01 01 80cab5ee01
              01 00 05
@@ -140,7 +140,7 @@
                     delta: Delta::between(b"{a}{b}", b"{a}{c}").expect("short documents"),
                 },
             },
-            // variant 4; subject 0; from 6; the entry; two parts: kept 0..3, new `{c}`
+            // variant 4; subject 0; from revision 6; the entry; a delta of two parts: bytes 0..3 kept, `{c}` new
             "00 04 00 06
              01 6b 00 07 ac02 00
              02 00 00 03 01 03 7b637d",
@@ -148,10 +148,11 @@
     ]
 }
 
-/// Fails to compile when a variant is added that [`feed_messages`] may lack.
+/// The number of a message's variant. The match has no wildcard, so a new variant fails to compile until it is added
+/// here; the test then requires a fixture for it.
 fn variant(message: &FeedMessage) -> usize {
     match message {
-        FeedMessage::Whole { .. } => 0,
+        FeedMessage::Snapshot { .. } => 0,
         FeedMessage::Changed { .. } => 1,
         FeedMessage::Pong { .. } => 2,
         FeedMessage::Unchanged { .. } => 3,
@@ -190,8 +191,8 @@
     pin(&first, "00 01 02 00 05 02 ffffffffffffffffff01");
 }
 
-/// A relay of an older build reads a first ping as a plain one, and a relay that expects a first ping
-/// may get a plain one.
+/// A relay of an older build decodes a first ping as a plain one. A relay of this build may get a plain ping where it
+/// expects a first one; this must fail to decode as a first ping.
 #[test]
 fn a_first_ping_is_read_as_a_ping_but_not_the_other_way_round() {
     let first = bytes("00 01 01 00 05");
@@ -215,7 +216,7 @@
     }
 }
 
-/// One key whose value is `length` times the letter `a`.
+/// A change of one key whose value is the letter `a`, repeated `length` times.
 fn long_message(length: usize) -> FeedMessage {
     FeedMessage::Changed {
         subject: Subject::Configuration,
@@ -226,8 +227,8 @@
     }
 }
 
-/// The first byte is 0 for a plain message, and 1 for one that is compressed, which begins at 1,024
-/// bytes of the plain form. Such a message takes 11 bytes besides a value of more than 127 bytes.
+/// The first byte is 0 for a plain message and 1 for a compressed one. Messages are compressed from a plain length of
+/// 1,024 bytes on. Here that length is 11 bytes more than the value's, if the value has more than 127 bytes.
 #[test]
 fn a_message_of_1024_bytes_is_compressed() {
     let plain = encode(&long_message(1_012)).expect("encoded");
@@ -244,7 +245,7 @@
     assert_eq!(decode(&compressed), Some(long_message(1_013)));
 }
 
-/// Made by another program: zlib's raw deflate of the same plain form.
+/// The fixture is zlib's raw deflate stream of the same plain message.
 #[test]
 fn a_compressed_message_of_another_program_is_read() {
     let compressed = bytes("01 63646060ccfeca9e380a46c1281859807d0d130300");
@@ -252,7 +253,7 @@
 }
 
 #[test]
-fn what_is_no_message_is_not_read() {
+fn invalid_messages_are_rejected() {
     let none: Option<FeedMessage> = None;
     assert_eq!(decode(b""), none);
     assert_eq!(decode(&bytes("00")), none);
@@ -260,7 +261,7 @@
     assert_eq!(decode(&bytes("01 ff")), none, "no deflate stream");
 }
 
-/// A frame is its length in four bytes, the most significant first, and the message.
+/// A frame is the message's length as four bytes in big-endian order, then the message.
 #[tokio::test]
 async fn a_frame_is_its_length_and_the_message() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
