--- a/crates/dyketally-gateway/src/node/updates.rs
+++ b/crates/dyketally-gateway/src/node/updates.rs
@@ -1,5 +1,5 @@
-//! Applies what the store holds, as it is followed there or by way of a relay: the configuration,
-//! evacuations, the announcements of databases and the keys of nodes.
+//! Applies updates of the store's keys, which come from the store or through a relay: the configuration, evacuations,
+//! the announcements of databases, and the keys of nodes. Owns nothing; relies on the adapter that decodes documents.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,58 +16,59 @@
 use crate::ports::StoredDocuments;
 use crate::store::feed::{Subject, Subscriber, UpdateHandler};
 use crate::store::parts::StoreParts;
-use crate::store::watch::{FirstRead, Gathering, Watched, Watcher};
+use crate::store::watch::{ChangeBatching, FirstRead, WatchSpec, Watcher};
 
-/// Pause behind a change of databases before the watch goes on, for each database: changes that come close
-/// together then come with one call. Not measured.
-const ANNOUNCEMENTS_GATHERING: Duration = Duration::from_millis(20);
-/// The same behind a change of the nodes that run, for each node. Not measured.
-const NODES_GATHERING: Duration = Duration::from_millis(14);
+/// Pause of the watch after a change of an announcement, for each announced database, so that changes in quick
+/// succession arrive in one call.
+const ANNOUNCEMENTS_BATCHING: Duration = Duration::from_millis(20);
+/// Pause of the watch after a change of a key of the nodes, for each key, so that changes in quick succession arrive
+/// in one call.
+const NODES_BATCHING: Duration = Duration::from_millis(14);
 
-/// Starts to watch the store, and to follow relays instead where there are any; applies what it holds.
+/// Starts the tasks that watch the store, or follow relays where there are any, and that apply all updates.
 pub(super) fn watch_store(
     gateway: &Rc<Gateway>,
     parts: &StoreParts,
     documents: &Rc<dyn StoredDocuments>,
 ) {
-    let reader = Reader {
+    let handler = DocumentHandler {
         gateway: gateway.clone(),
         documents: documents.clone(),
     };
-    let configuration = reader.clone();
+    let configuration = handler.clone();
     let configuration: UpdateHandler =
         Rc::new(move |update| configuration.receive_configuration(update));
-    let announcements: UpdateHandler = Rc::new(move |update| reader.receive_announcements(update));
+    let announcements: UpdateHandler = Rc::new(move |update| handler.receive_announcements(update));
     let nodes = NodesHandler::new(gateway.clone(), parts.keys.clone());
     let nodes: UpdateHandler = Rc::new(move |update| nodes.receive(update));
-    let readiness = gateway.clone();
-    let is_ready: Rc<dyn Fn() -> bool> = Rc::new(move || readiness.is_ready());
-    let watch = |watched, handler: &UpdateHandler| {
-        let watcher = Watcher::new(parts.clone(), watched, handler.clone(), is_ready.clone());
+    let ready_gateway = gateway.clone();
+    let is_ready: Rc<dyn Fn() -> bool> = Rc::new(move || ready_gateway.is_ready());
+    let watch = |spec, handler: &UpdateHandler| {
+        let watcher = Watcher::new(parts.clone(), spec, handler.clone(), is_ready.clone());
         tokio::task::spawn_local(watcher.run());
     };
-    let watched = Watched {
+    let spec = WatchSpec {
         prefix: documents.operators_prefix(),
-        gathering: Gathering::Bursts,
+        batching: ChangeBatching::Bursts,
         subject: Subject::Configuration,
-        first: FirstRead::Stale,
+        first_read: FirstRead::Stale,
     };
-    watch(watched, &configuration);
-    let watched = Watched {
+    watch(spec, &configuration);
+    let spec = WatchSpec {
         prefix: documents.announcements_prefix(),
-        gathering: Gathering::PerKey(ANNOUNCEMENTS_GATHERING),
+        batching: ChangeBatching::PerKey(ANNOUNCEMENTS_BATCHING),
         subject: Subject::Announcements,
-        // An old list may name a primary that was replaced meanwhile.
-        first: FirstRead::Newest,
+        // An outdated list may name a primary that has been replaced since.
+        first_read: FirstRead::Newest,
     };
-    watch(watched, &announcements);
-    let watched = Watched {
+    watch(spec, &announcements);
+    let spec = WatchSpec {
         prefix: documents.own_prefix(),
-        gathering: Gathering::PerKey(NODES_GATHERING),
+        batching: ChangeBatching::PerKey(NODES_BATCHING),
         subject: Subject::Nodes,
-        first: FirstRead::Stale,
+        first_read: FirstRead::Stale,
     };
-    watch(watched, &nodes);
+    watch(spec, &nodes);
     let handlers = HashMap::from([
         (Subject::Configuration, configuration),
         (Subject::Announcements, announcements),
@@ -77,53 +78,57 @@
     tokio::task::spawn_local(subscriber.run());
 }
 
-/// Applies documents of the store.
+/// Applies the documents of operators and databases.
 #[derive(Clone)]
-struct Reader {
+struct DocumentHandler {
     gateway: Rc<Gateway>,
     documents: Rc<dyn StoredDocuments>,
 }
 
-impl Reader {
+impl DocumentHandler {
+    /// Applies an update of the operators' keys: the configuration and evacuations.
     fn receive_configuration(&self, update: StoreUpdate) {
         match update {
             StoreUpdate::All(entries) => {
                 for entry in &entries {
-                    self.put_in_force(entry);
+                    self.apply_configuration(entry);
                 }
                 let zones = entries
                     .iter()
-                    .filter_map(|entry| self.evacuated(&entry.key));
+                    .filter_map(|entry| self.evacuated_zone(&entry.key));
                 self.gateway.databases.evacuations_are(&zones.collect());
             }
             StoreUpdate::Changed(WatchEvent::Put(entry)) => {
-                self.put_in_force(&entry);
-                if let Some(zone) = self.evacuated(&entry.key) {
+                self.apply_configuration(&entry);
+                if let Some(zone) = self.evacuated_zone(&entry.key) {
                     self.gateway.databases.evacuation_requested(zone);
                 }
             }
             StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => {
-                if let Some(zone) = self.evacuated(&key) {
+                if let Some(zone) = self.evacuated_zone(&key) {
                     self.gateway.databases.evacuation_taken_back(&zone);
                 }
             }
         }
     }
 
-    fn evacuated(&self, key: &Key) -> Option<ZoneName> {
+    /// The zone that `key` requests to evacuate, if it is such a key.
+    fn evacuated_zone(&self, key: &Key) -> Option<ZoneName> {
         self.documents.evacuated_zone(&key.to_string())
     }
 
-    fn put_in_force(&self, entry: &Entry) {
+    /// Applies the configuration if `entry` is the configuration's.
+    fn apply_configuration(&self, entry: &Entry) {
         if entry.key != Key::from(self.documents.configuration_key()) {
             return;
         }
         match self.documents.configuration(&entry.value) {
             Ok(routes) => self.gateway.put_in_force(routes, entry.modified),
-            Err(reason) => self.refuse(&entry.key, &reason),
+            Err(reason) => self.log_refused(&entry.key, &reason),
         }
     }
 
+    /// Applies an update of the databases' announcements.
     fn receive_announcements(&self, update: StoreUpdate) {
         let now = self.gateway.cx.now();
         let changes: Vec<DirectoryChange> = match update {
@@ -172,6 +177,7 @@
         self.gateway.databases.settle_unlisted_later();
     }
 
+    /// Decodes an announcement; logs the entry as refused if that fails.
     fn announcement(&self, entry: &Entry) -> Option<Announcement> {
         let read = self
             .documents
@@ -179,13 +185,13 @@
         match read {
             Ok(announcement) => Some(announcement),
             Err(reason) => {
-                self.refuse(&entry.key, &reason);
+                self.log_refused(&entry.key, &reason);
                 None
             }
         }
     }
 
-    fn refuse(&self, key: &Key, reason: &str) {
+    fn log_refused(&self, key: &Key, reason: &str) {
         self.gateway.cx.events.write(&Event::DocumentRefused {
             key: &key.to_string(),
             reason,
--- a/crates/dyketally-gateway/src/store/keys.rs
+++ b/crates/dyketally-gateway/src/store/keys.rs
@@ -1,5 +1,5 @@
-//! The keys that nodes keep in the store, and what lies under them. Nodes of other builds read them, so
-//! names and forms stay. Owns nothing; relies on the record of a node.
+//! The keys that nodes keep in the store, and the encoding of their values. Nodes of other builds read them, so key
+//! names and encodings must not change. Owns nothing; relies on the record of a node.
 
 use bytes::Bytes;
 use dyketally::failover::FenceId;
@@ -8,14 +8,14 @@
 
 use crate::fleet::membership::NodeRecord;
 
-/// What precedes a node's name.
+/// Prefix of a node's name in the key of the node.
 const NODES: &str = "nodes/";
-/// The failover coordinator's key, by its older name.
+/// The failover coordinator's key; it keeps the name that the coordinator had in older builds.
 const COORDINATOR: &str = "duty/primary-control";
-/// What precedes the name of a database that is being replaced.
+/// Prefix of a database's name in the key of the fence around it.
 const FENCES: &str = "fences/";
 
-/// The keys of one node, and of what all nodes share.
+/// The keys of one node, and the keys that all nodes share.
 #[derive(Clone, Debug)]
 pub struct Keys {
     prefix: String,
@@ -28,7 +28,7 @@
         Self { prefix, record }
     }
 
-    /// What this node keeps in the store.
+    /// The record that this node puts under its keys.
     pub fn record(&self) -> &NodeRecord {
         &self.record
     }
@@ -43,7 +43,7 @@
         Key::from(format!("{}{NODES}{name}", self.prefix))
     }
 
-    /// The node that `key` is about, if it is one of [`Keys::of_node`].
+    /// The name of the node whose key `key` is; `None` if it is no key of a node.
     pub fn node_of(&self, key: &Key) -> Option<NodeName> {
         let text = key.to_string();
         let name = text.strip_prefix(&self.prefix)?.strip_prefix(NODES)?;
@@ -55,19 +55,20 @@
         Key::from(format!("{}{COORDINATOR}", self.prefix))
     }
 
-    /// The key that says that a primary is being replaced.
+    /// The key of the fence around `database`, which exists while the database is being replaced.
     pub fn fence(&self, database: &DatabaseName) -> Key {
         Key::from(format!("{}{FENCES}{database}", self.prefix))
     }
 
-    /// The database that `key` is about, if it is one of [`Keys::fence`].
+    /// The database whose fence's key `key` is; `None` if it is no key of a fence.
     pub fn fenced(&self, key: &Key) -> Option<DatabaseName> {
         let text = key.to_string();
         let database = text.strip_prefix(&self.prefix)?.strip_prefix(FENCES)?;
         Some(DatabaseName::from(database))
     }
 
-    /// Puts the round of a fence under `key`, one of [`Keys::fence`], for as long as `lease` runs.
+    /// The operation that puts the round of a fence under `key`, a key made by [`Keys::fence`], for as long as `lease`
+    /// is held.
     pub fn put_fence(key: Key, id: FenceId, lease: LeaseId) -> Operation {
         Operation::Put(PutRequest {
             key,
@@ -76,16 +77,16 @@
         })
     }
 
-    /// The database and the round that an entry is about, if its key is one of [`Keys::fence`].
+    /// The fenced database and the fence's round, if `entry` is the entry of a fence.
     pub fn fence_of(&self, entry: &Entry) -> Option<(DatabaseName, FenceId)> {
         let database = self.fenced(&entry.key)?;
         let text = std::str::from_utf8(&entry.value).ok();
         let id = text.and_then(|text| text.parse().ok());
-        // A fence without a round counts as a round of its own.
+        // A value that is no round counts as a separate round, numbered by the entry's revision.
         Some((database, FenceId(id.unwrap_or(entry.modified.0))))
     }
 
-    /// Puts this node's record under `key`, for as long as `lease` runs.
+    /// The operation that puts this node's record under `key` for as long as `lease` is held.
     pub fn put(&self, key: Key, lease: LeaseId) -> Operation {
         let value = serde_json::to_vec(&self.record);
         let value = value.expect("a record of names, numbers and an address has a JSON form");
--- a/crates/dyketally-gateway/src/store/liveness.rs
+++ b/crates/dyketally-gateway/src/store/liveness.rs
@@ -1,11 +1,11 @@
-//! Finds nodes whose process is gone, and removes their keys from the store, long before their
-//! leases lapse: leases are long, since each renewal is a call to the store.
+//! Detects nodes whose process has ended and removes their keys from the store, long before their leases lapse.
+//! Leases are long, since each renewal is a call to the store.
 //!
-//! In each zone the first relay watches over the other nodes, and the second one over the first. A
-//! node that is alone in its zone is watched over by one of another zone. If both relays of a zone
-//! are lost together their keys go with their leases.
+//! In each zone the first relay monitors the other nodes, and the second relay monitors the first. A node that is
+//! alone in its zone is monitored by a node of another zone. If both relays of a zone are lost together, their keys
+//! disappear only when their leases lapse.
 //!
-//! Owns when each node replied last; relies on heartbeats, which nodes send when asked.
+//! Owns the time of each node's last reply; relies on heartbeats, which nodes send on request.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -26,90 +26,92 @@
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::Peers;
 
-/// Pause between two heartbeats that a node is asked for. Not measured.
-const HEARTBEAT: Duration = Duration::from_secs(1);
-/// Silence after which a node is taken for gone; until then nodes that fail to reach it pass it over. Not
-/// measured.
+/// Pause between two heartbeat requests to a node.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without a heartbeat after which a node counts as gone. Until then, nodes that fail to reach it exclude it
+/// themselves.
 const GONE_AFTER: Duration = Duration::from_secs(6);
-/// Silence up to which a node counts as reached. Not measured.
-const HEARD_WITHIN: Duration = Duration::from_millis(2_500);
+/// Time without a heartbeat up to which a node counts as reachable.
+const REACHABLE_WITHIN: Duration = Duration::from_millis(2_500);
 
-/// Watches over nodes while this one is a relay.
+/// Monitors the other nodes that this node is responsible for, if any.
 pub struct Liveness {
     parts: StoreParts,
     peers: Rc<Peers>,
-    /// When each node replied last, or was asked first.
-    heard: RefCell<HashMap<SocketAddr, Instant>>,
+    /// When each monitored node last replied, or was first sent a request.
+    last_replies: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
 impl Liveness {
-    /// One that isn't running yet.
+    /// A monitor that isn't running yet.
     pub fn new(parts: StoreParts, peers: Rc<Peers>) -> Self {
         Self {
             parts,
             peers,
-            heard: RefCell::default(),
+            last_replies: RefCell::default(),
         }
     }
 
-    /// Watches over nodes until the process stops.
+    /// Monitors nodes until the process stops.
     pub async fn run(self) {
-        let mut alive = self.peers.heartbeats();
-        let mut next = Instant::now() + HEARTBEAT;
+        let mut heartbeats = self.peers.heartbeats();
+        let mut next = Instant::now() + HEARTBEAT_INTERVAL;
         loop {
             tokio::select! {
-                Some(from) = alive.recv() => {
-                    if let Some(heard) = self.heard.borrow_mut().get_mut(&from) {
-                        *heard = Instant::now();
+                Some(from) = heartbeats.recv() => {
+                    if let Some(last_reply) = self.last_replies.borrow_mut().get_mut(&from) {
+                        *last_reply = Instant::now();
                     }
                 }
                 () = tokio::time::sleep_until(next) => {
-                    next = Instant::now() + HEARTBEAT;
+                    next = Instant::now() + HEARTBEAT_INTERVAL;
                     if self.parts.cx.stop.is_stopping() {
                         return;
                     }
-                    self.look().await;
+                    self.check_nodes().await;
                 }
             }
         }
     }
 
-    async fn look(&self) {
-        let watched = self.watched_over();
-        self.ask(&watched);
-        // Without the store nothing can be removed, and cut off from most this node may be wrong.
-        if self.parts.cx.store_health.is_failing() || !self.hears_most(&watched) {
+    /// Requests heartbeats from the monitored nodes, and removes the keys of those that are gone.
+    async fn check_nodes(&self) {
+        let monitored = self.monitored_nodes();
+        self.request_heartbeats(&monitored);
+        // Without the store no key can be removed. If this node doesn't reach a majority of itself and the monitored
+        // nodes, it may be cut off while the others are running.
+        if self.parts.cx.store_health.is_failing() || !self.reaches_majority(&monitored) {
             return;
         }
-        for node in watched {
+        for node in monitored {
             if self.silent_for(&node) >= GONE_AFTER {
                 self.remove(&node).await;
             }
         }
     }
 
-    fn ask(&self, watched: &[NodeRecord]) {
+    fn request_heartbeats(&self, monitored: &[NodeRecord]) {
         let now = Instant::now();
-        let mut heard = self.heard.borrow_mut();
-        heard.retain(|address, _| watched.iter().any(|node| node.address == *address));
-        for node in watched {
-            heard.entry(node.address).or_insert(now);
+        let mut last_replies = self.last_replies.borrow_mut();
+        last_replies.retain(|address, _| monitored.iter().any(|node| node.address == *address));
+        for node in monitored {
+            last_replies.entry(node.address).or_insert(now);
             self.peers.send(node.address, &PeerMessage::HeartbeatAsked);
         }
     }
 
     fn silent_for(&self, node: &NodeRecord) -> Duration {
-        let heard = self.heard.borrow();
-        heard
+        let last_replies = self.last_replies.borrow();
+        last_replies
             .get(&node.address)
             .map_or(Duration::ZERO, Instant::elapsed)
     }
 
-    fn hears_most(&self, watched: &[NodeRecord]) -> bool {
-        let heard = watched
+    fn reaches_majority(&self, monitored: &[NodeRecord]) -> bool {
+        let reachable = monitored
             .iter()
-            .filter(|node| self.silent_for(node) < HEARD_WITHIN);
-        is_majority(heard.count(), watched.len() + 1)
+            .filter(|node| self.silent_for(node) < REACHABLE_WITHIN);
+        is_majority(reachable.count(), monitored.len() + 1)
     }
 
     async fn remove(&self, node: &NodeRecord) {
@@ -117,7 +119,7 @@
         let Some(modified) = self.parts.feed.modified(Subject::Nodes, &key) else {
             return;
         };
-        // Its next process may have put the key anew.
+        // The node's next process may have put its key again since; that key must stay.
         let request = TransactionRequest {
             conditions: vec![Condition::Unchanged {
                 key: key.clone(),
@@ -127,15 +129,17 @@
             ..TransactionRequest::default()
         };
         let removed = self.parts.store.transact(request).await;
-        self.heard.borrow_mut().insert(node.address, Instant::now());
+        self.last_replies
+            .borrow_mut()
+            .insert(node.address, Instant::now());
         self.parts.cx.events.write(&Event::NodeGone {
             node: node.node.as_str(),
             removed: removed.is_ok_and(|reply| reply.succeeded),
         });
     }
 
-    /// The nodes that this one watches over.
-    fn watched_over(&self) -> Vec<NodeRecord> {
+    /// The nodes that this node monitors.
+    fn monitored_nodes(&self) -> Vec<NodeRecord> {
         let nodes = self.parts.fleet.membership.nodes();
         let own = &self.parts.cx.settings.node.name;
         let own_zone = self.parts.cx.settings.own_locality();
@@ -143,27 +147,27 @@
         for node in nodes.values() {
             zones.entry(&node.locality.zone).or_default().push(node);
         }
-        let mut watched = Vec::new();
+        let mut monitored = Vec::new();
         for (zone, members) in zones {
             if let [lone] = members[..] {
                 let others: Vec<&NodeName> = nodes.keys().filter(|it| **it != lone.node).collect();
                 if placement::preference(&lone.node, &others).first() == Some(&own) {
-                    watched.push(lone.clone());
+                    monitored.push(lone.clone());
                 }
             } else if *zone == own_zone.zone {
                 let candidates = members.iter().map(|node| node.candidate());
                 let ranked = placement::relays(&own_zone, candidates, 2);
                 let others = members.into_iter().filter(|node| node.node != *own);
                 match ranked.iter().position(|relay| *relay == own) {
-                    Some(0) => watched.extend(others.cloned()),
+                    Some(0) => monitored.extend(others.cloned()),
                     Some(_) => {
                         let first = others.filter(|node| Some(&&node.node) == ranked.first());
-                        watched.extend(first.cloned());
+                        monitored.extend(first.cloned());
                     }
                     None => {}
                 }
             }
         }
-        watched
+        monitored
     }
 }
--- a/crates/dyketally-gateway/src/store/metered_store.rs
+++ b/crates/dyketally-gateway/src/store/metered_store.rs
@@ -1,6 +1,7 @@
-//! Counts the calls that this process makes to the store, by kind: they are limited and may be priced.
+//! Counts the calls of this process to the store, by kind, and the bytes of keys and values: a store may limit the
+//! rate of calls or charge for them.
 //!
-//! Owns nothing: the counters are shared. Relies on the client that it wraps.
+//! Owns nothing, since the counters are shared. Relies on the client that it wraps.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -46,14 +47,14 @@
     calls.fetch_add(1, Ordering::Relaxed);
 }
 
-/// A store whose calls are counted.
+/// A store client whose calls are counted.
 pub struct MeteredStore<S> {
     inner: S,
     calls: Arc<StoreCalls>,
 }
 
 impl<S> MeteredStore<S> {
-    /// Counts the calls to `inner` in `calls`.
+    /// A client that forwards all calls to `inner` and counts them in `calls`.
     pub fn new(inner: S, calls: Arc<StoreCalls>) -> Self {
         Self { inner, calls }
     }
@@ -105,7 +106,7 @@
     async fn watch(&self, request: WatchRequest) -> Result<WatchStream, StoreError> {
         let calls = self.calls.clone();
         let batches = self.inner.watch(request).await?;
-        // The first batch is the client's own.
+        // The first batch is made by the client itself and is no message from the store.
         let counted = batches.enumerate().map(move |(number, batch)| {
             if number > 0 {
                 count(&calls.store_watches);
--- a/crates/dyketally-gateway/src/store/mod.rs
+++ b/crates/dyketally-gateway/src/store/mod.rs
@@ -1,12 +1,14 @@
-//! The store's keys: watched there or received by way of other nodes, and those that this node keeps.
+//! The store's keys: this node watches them there or receives them through other nodes, and keeps its own.
 //!
 //! - [`watch`] reads and watches prefixes of the store.
-//! - [`feed`] sends the keys on between nodes, so that only a few nodes of a large fleet watch the store.
-//! - [`registration`] keeps this node's own key, and [`liveness`] removes those of nodes that are lost.
-//! - [`keys`] names the keys of nodes; [`metered_store`] counts the calls to the store.
+//! - [`feed`] distributes the keys between nodes, so that only a few nodes of a large fleet watch the store.
+//! - [`registration`] keeps this node's own key, and [`liveness`] removes the keys of nodes that are gone.
+//! - [`unconfirmed`] logs when the configuration may be outdated.
+//! - [`keys`] names the keys of nodes; [`metered_store`] counts the calls to the store; [`parts`] is what the tasks
+//!   of this layer share.
 //!
-//! Owns this node's copies of the keys. Relies on the nodes and links of `fleet` and on the state of
-//! `context`; handlers of updates and what else concerns the layers above are passed in.
+//! Owns this node's copies of the keys. Relies on the nodes and connections of `fleet` and on the state of `context`.
+//! Handlers of updates and everything else that belongs to higher layers are passed in.
 
 pub mod feed;
 pub mod keys;
--- a/crates/dyketally-gateway/src/store/parts.rs
+++ b/crates/dyketally-gateway/src/store/parts.rs
@@ -1,4 +1,4 @@
-//! What the tasks of this layer share. Owns nothing.
+//! The objects that the tasks of this layer share. Owns nothing.
 
 use std::rc::Rc;
 
@@ -9,16 +9,16 @@
 use crate::context::Context;
 use crate::fleet::Fleet;
 
-/// The store, this node's keys in it, and what is needed to work with them.
+/// The store, this node's keys in it, and the state that tasks need to read and to write these keys.
 #[derive(Clone)]
 pub struct StoreParts {
     /// Clock, settings, log and contact.
     pub cx: Rc<Context>,
     /// The other nodes.
     pub fleet: Rc<Fleet>,
-    /// Copies of the store's keys, and the relay that sends them on to this node.
+    /// This node's copies of the store's keys, and the relay that they come from, if any.
     pub feed: Rc<Feed>,
-    /// The store.
+    /// The client of the store.
     pub store: Rc<dyn KeyValueStore>,
     /// This node's keys.
     pub keys: Rc<Keys>,
--- a/crates/dyketally-gateway/src/store/registration.rs
+++ b/crates/dyketally-gateway/src/store/registration.rs
@@ -1,7 +1,7 @@
-//! Keeps this node's key in the store, under a lease, so that other nodes know that it runs.
+//! Keeps this node's key in the store under a lease, so that other nodes know that this node is running.
 //!
-//! Owns the lease. Relies on the feed to know whether this node is listed and follows a relay, which decides
-//! how often the lease has to be renewed.
+//! Owns the lease. Relies on the feed to know whether this node's key is listed, and whether the node follows a relay
+//! or is one, which determines how often the lease has to be renewed.
 
 use std::time::Duration;
 
@@ -14,46 +14,45 @@
 use super::parts::StoreParts;
 use crate::context::StopPhase;
 
-/// Time after which the key of a node that is lost goes. Other nodes notice sooner, see
-/// [`Liveness`](super::liveness::Liveness), so this may be long: a lease that outlives an outage of the
-/// store needn't be taken again. Not measured.
-const LEASE: Duration = Duration::from_secs(30);
-/// Pause between two renewals of a node that follows a relay, whose pongs vouch for its contact. Not
-/// measured.
+/// Duration of the lease, after which the store removes the key of a lost node. It may be long, since other nodes
+/// detect the loss sooner, see [`Liveness`](super::liveness::Liveness), and a lease that outlasts an outage of the
+/// store needn't be acquired again.
+const LEASE_DURATION: Duration = Duration::from_secs(30);
+/// Pause between two renewals by a node that follows a relay: its contact comes from the relay's pongs instead.
 const RENEWAL_BY_RELAY: Duration = Duration::from_secs(10);
-/// Pause between two renewals of a relay: its contact with the store counts for its followers, and holds
-/// for 2.9 s. Not measured.
+/// Pause between two renewals by a relay: its contact with the store counts for its followers, too, and is valid for
+/// 2.9 s.
 const RENEWAL_OF_RELAY: Duration = Duration::from_millis(700);
-/// Pause between two renewals of any other node, whose own contact holds for 2.9 s. Not measured.
+/// Pause between two renewals by any other node, whose own contact is valid for 2.9 s.
 const RENEWAL: Duration = Duration::from_secs(2);
-/// Pause before a renewal that failed is tried again. Not measured.
+/// Pause before a failed renewal is retried by a node that follows no relay.
 const RENEWAL_RETRY: Backoff = Backoff {
     first: Duration::from_millis(150),
     longest: Duration::from_millis(600),
 };
-/// The same for a node that follows a relay: its lease runs for long. Not measured.
+/// Pause before a failed renewal is retried by a node that follows a relay; it may be longer, since the lease is long.
 const RENEWAL_RETRY_BY_RELAY: Duration = Duration::from_secs(2);
-/// How long a renewal after one that failed may take. A call that began while the store was away may
-/// never get a reply, so it shouldn't hold up the next for long. Not measured.
-const RETRY_LIMIT: Duration = Duration::from_millis(400);
-/// Pause before joining is tried again. Not measured.
+/// Timeout of a renewal while the store is failing. A call made during an outage may never get a reply, so it mustn't
+/// delay the next one for long.
+const RETRY_TIMEOUT: Duration = Duration::from_millis(400);
+/// Pause between two tests whether the store replies after a failed join.
 const JOIN_RETRY: Backoff = Backoff {
     first: Duration::from_millis(300),
     longest: Duration::from_millis(1_200),
 };
-/// Age of the last renewal from which on another one is made when it matters whether the store replies.
-/// Not measured.
-const RENEWED_LATELY: Duration = Duration::from_millis(700);
-/// By then a key that was put has come back to this node, from the store or by a relay. Not measured.
-const LISTED_AFTER: Duration = Duration::from_secs(3);
+/// Age of the last renewal below which a request to check the store makes no further renewal.
+const RECENT_RENEWAL: Duration = Duration::from_millis(700);
+/// Time after joining by which this node must have received its own key, from the store or through a relay; if the
+/// key isn't listed then, the node joins again.
+const LISTED_WITHIN: Duration = Duration::from_secs(3);
 
-/// Keeps this node's key.
+/// Keeps this node's key in the store.
 pub struct Registration {
     parts: StoreParts,
 }
 
 impl Registration {
-    /// A registration that isn't kept yet.
+    /// A registration that isn't running yet.
     pub fn new(parts: StoreParts) -> Self {
         Self { parts }
     }
@@ -66,9 +65,9 @@
                 Ok(lease) => {
                     self.parts.cx.store_health.replied();
                     former = Some(lease);
-                    self.hold(lease).await;
+                    self.renew_until_lapsed(lease).await;
                 }
-                // Dropped: it is tried again, and watchers log that the store is lost.
+                // Not logged here: joining is retried, and watchers log the loss of the store.
                 Err(_) => {
                     self.parts.cx.store_health.failed();
                     self.until_store_replies(former).await;
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Waits after a join that failed until the store replies to a cheaper call.
+    /// Waits after a failed join until the store replies to a call that costs less than joining.
     async fn until_store_replies(&self, former: Option<LeaseId>) {
         let mut failures = 1;
         loop {
@@ -89,25 +88,24 @@
         }
     }
 
-    /// True when the store replies. The former lease, if there is one, has lapsed, but to renew it
-    /// costs little.
+    /// True when the store replies. Renews the former lease, if there is one: it has lapsed, but the call costs little.
     async fn store_replies(&self, former: Option<LeaseId>) -> bool {
         let Some(former) = former else {
             let own_key = KeyRange::key(self.parts.keys.node());
             let read = self.parts.store.range(RangeRequest::stale(own_key));
-            return matches!(tokio::time::timeout(RETRY_LIMIT, read).await, Ok(Ok(_)));
+            return matches!(tokio::time::timeout(RETRY_TIMEOUT, read).await, Ok(Ok(_)));
         };
         let renewal = self.parts.store.keep_lease_alive(former);
         matches!(
-            tokio::time::timeout(RETRY_LIMIT, renewal).await,
+            tokio::time::timeout(RETRY_TIMEOUT, renewal).await,
             Ok(Ok(_) | Err(StoreError::LeaseLapsed { .. }))
         )
     }
 
-    /// Takes a lease and puts the node's key. From then on a fence waits for this node.
+    /// Acquires a lease and puts the node's key under it. From then on fences wait for this node.
     async fn join(&self) -> Result<LeaseId, StoreError> {
-        let lease = self.parts.store.grant_lease(LEASE).await?;
-        let asked = self.parts.cx.now();
+        let lease = self.parts.store.grant_lease(LEASE_DURATION).await?;
+        let sent_at = self.parts.cx.now();
         let put = self.parts.keys.put(self.parts.keys.node(), lease.id);
         self.parts
             .store
@@ -116,69 +114,69 @@
                 ..TransactionRequest::default()
             })
             .await?;
-        self.parts.cx.contact.store_replied_to_this_node(asked);
-        self.parts.cx.contact.store_replied(asked);
+        self.parts.cx.contact.store_replied_to_this_node(sent_at);
+        self.parts.cx.contact.store_replied(sent_at);
         Ok(lease.id)
     }
 
-    /// Renews the lease until it has ended or the key is gone; ends it when the process stops.
-    async fn hold(&self, lease: LeaseId) {
+    /// Renews the lease until it has lapsed or the key is gone; revokes it when the process stops.
+    async fn renew_until_lapsed(&self, lease: LeaseId) {
         let joined = Instant::now();
         let mut renewed = joined;
         let mut failures = 0;
         loop {
-            if joined.elapsed() > LISTED_AFTER && self.is_unlisted() {
+            if joined.elapsed() > LISTED_WITHIN && self.is_unlisted() {
                 return;
             }
-            let due = renewed + self.pause(failures);
+            let due = renewed + self.pause_before_renewal(failures);
             tokio::select! {
                 () = tokio::time::sleep_until(due) => {}
                 () = self.parts.feed.relay_changes() => continue,
                 () = self.parts.fleet.membership.nodes_changed.notified() => continue,
                 () = self.parts.cx.store_health.check.notified() => {
-                    if self.parts.feed.has_relay() || renewed.elapsed() < RENEWED_LATELY {
+                    if self.parts.feed.has_relay() || renewed.elapsed() < RECENT_RENEWAL {
                         continue;
                     }
                 }
                 () = self.parts.cx.stop.entered(StopPhase::Leaving) => {
                     self.parts.cx.contact.disregard_store();
-                    // Dropped: the process ends, and the lease runs out by itself.
+                    // A failure is ignored: the process is ending, and the lease lapses by itself.
                     let _ = self.parts.store.revoke_lease(lease).await;
                     return;
                 }
             }
             let renewal = self.renew(lease);
             let outcome = match self.parts.cx.store_health.is_failing() {
-                true => tokio::time::timeout(RETRY_LIMIT, renewal).await.ok(),
+                true => tokio::time::timeout(RETRY_TIMEOUT, renewal).await.ok(),
                 false => Some(renewal.await),
             };
             renewed = Instant::now();
             match outcome {
                 Some(Ok(_)) => failures = 0,
                 Some(Err(StoreError::LeaseLapsed { .. })) => return,
-                // Dropped: `StoreHealth` records it, and the renewal is tried again.
+                // Not logged here: `StoreHealth` records the failure, and the renewal is retried.
                 Some(Err(_)) | None => failures += 1,
             }
         }
     }
 
-    /// Renews the lease. While this node is the failover coordinator only the renewals of that lease count
-    /// as contact, and while it doesn't watch the store itself only what its relay reports: its updates
-    /// come from there.
+    /// Renews the lease, and counts the reply as contact with the store if it may. While this node is the failover
+    /// coordinator, only renewals of the coordinator's lease count. While it doesn't watch the store itself, only the
+    /// contact reported by its relay counts, since its updates come from the relay.
     async fn renew(&self, lease: LeaseId) -> Result<(), StoreError> {
         let cx = &self.parts.cx;
-        let asked = cx.now();
+        let sent_at = cx.now();
         cx.store_health.renew(&*self.parts.store, lease).await?;
-        cx.contact.store_replied_to_this_node(asked);
+        cx.contact.store_replied_to_this_node(sent_at);
         let is_coordinator = self.parts.fleet.coordinator.last_term().is_some();
         if !is_coordinator && self.parts.feed.is_current() {
-            cx.contact.store_replied(asked);
+            cx.contact.store_replied(sent_at);
         }
         Ok(())
     }
 
-    /// Pause before the next renewal, after so many that failed.
-    fn pause(&self, failures: u32) -> Duration {
+    /// Pause before the next renewal, after `failures` failed ones in a row.
+    fn pause_before_renewal(&self, failures: u32) -> Duration {
         let has_relay = self.parts.feed.has_relay();
         match (failures, has_relay) {
             (0, true) => RENEWAL_BY_RELAY,
@@ -189,7 +187,7 @@
         }
     }
 
-    /// True when the store, as far as it is known, doesn't list this node.
+    /// True when this node's copy of the store's keys is known and lacks this node's key.
     fn is_unlisted(&self) -> bool {
         let listed = self
             .parts
--- a/crates/dyketally-gateway/src/store/unconfirmed.rs
+++ b/crates/dyketally-gateway/src/store/unconfirmed.rs
@@ -1,6 +1,6 @@
-//! Logs when it hasn't been confirmed for a while that this node's configuration is the newest one.
+//! Logs when this node's configuration hasn't been confirmed to be the newest one for longer than usual.
 //!
-//! Owns nothing; relies on the age of the configuration and on the feed for where it comes from.
+//! Owns nothing; relies on the age of the configuration and on the feed for the source that it comes from.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,29 +9,28 @@
 use crate::event::Event;
 use crate::store::feed::{Feed, Source};
 
-/// Share of the bound on contact after which a configuration counts as unconfirmed. A quiet watch is asked
-/// again within 0.6 of the bound, and counts from when it was asked: up to 1.2 of it are usual.
-/// Not measured.
-const UNCONFIRMED_SHARE: f64 = 1.5;
-/// Pause between two looks. Not measured.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+/// Age from which on a configuration counts as unconfirmed, as a multiple of the setting `bounds.contact_ms`. A watch
+/// without changes is queried again within 0.6 of that bound, and its reply counts from when the query was sent, so
+/// ages of up to 1.2 of the bound are usual.
+const UNCONFIRMED_BOUNDS: f64 = 1.5;
+/// Pause between two checks of the configuration's age.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Logs when the configuration was confirmed longer ago than is usual, and when it is confirmed again,
-/// until the process ends.
+/// Logs when the configuration becomes unconfirmed and when it is confirmed again, until the process ends.
 pub async fn log_unconfirmed(cx: Rc<Context>, feed: Rc<Feed>) {
     let contact = cx.settings.bounds.contact();
-    let limit = contact.mul_f64(UNCONFIRMED_SHARE);
-    let mut was_old = false;
+    let limit = contact.mul_f64(UNCONFIRMED_BOUNDS);
+    let mut was_unconfirmed = false;
     loop {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let Some(age) = cx.configuration_age() else {
             continue;
         };
-        let is_old = age > limit;
-        if is_old == std::mem::replace(&mut was_old, is_old) {
+        let is_unconfirmed = age > limit;
+        if is_unconfirmed == std::mem::replace(&mut was_unconfirmed, is_unconfirmed) {
             continue;
         }
-        cx.events.write(&match is_old {
+        cx.events.write(&match is_unconfirmed {
             true => unconfirmed(&feed, age),
             false => Event::ConfigurationConfirmed,
         });
--- a/crates/dyketally-gateway/src/store/watch/first_read.rs
+++ b/crates/dyketally-gateway/src/store/watch/first_read.rs
@@ -1,5 +1,5 @@
-//! What a node reads when it starts, with as few calls as possible. In a large fleet a relay has the
-//! rest. Relies on the feed to know when a relay is found.
+//! Reads the keys that a node needs when it starts, with as few calls as possible. In a large fleet the other keys
+//! come from a relay. Relies on the feed to know when this node follows a relay.
 
 use std::time::Duration;
 
@@ -12,34 +12,35 @@
 use super::watched::FirstRead;
 use crate::store::feed::Subject;
 
-/// How long a node that has just started waits for a relay before it asks the store for what it needn't
-/// know at once. Not measured.
-const RELAY_AWAITED: Duration = Duration::from_millis(1_500);
-/// The same at the first start of the whole system: all nodes have to get to know each other first, and
-/// no caller waits to be served. Not measured.
-const RELAY_AWAITED_AT_FIRST_START: Duration = Duration::from_secs(3);
-/// The same when the answer is a long one: a relay may need a second for its own copy, and as long for
-/// those that it sends. When 300 nodes start at once, with 1 MB each, asking the store instead takes its
-/// link 2.4 s at the least (computed), and all of it crosses regions.
-const RELAY_AWAITED_FOR_LONG: Duration = Duration::from_secs(4);
-/// Length in bytes from which on a first answer on the configuration is taken from a relay. Shorter ones
-/// arrive sooner from the store. Not measured.
-const LONG_ANSWER: usize = 64 << 10;
-/// Pause between two reads of the nodes' keys while no relay is known, and what is added to it at
-/// random. Such reads cost little. Not measured.
+/// How long a node that has just started waits for a relay before it reads from the store the keys that it doesn't
+/// need at once.
+const RELAY_WAIT: Duration = Duration::from_millis(1_500);
+/// As [`RELAY_WAIT`], at the first start of the whole system: all nodes first have to find each other, and no caller
+/// is waiting yet.
+const RELAY_WAIT_AT_FIRST_START: Duration = Duration::from_secs(3);
+/// As [`RELAY_WAIT`], when the store's reply would be long: a relay may need a second to read its own copy, and
+/// another to send it to its followers. If 300 nodes that start at once read 1 MB each from the store instead, its
+/// link is busy for at least 2.4 s (computed), and all of that data crosses regions.
+const RELAY_WAIT_FOR_LONG_REPLY: Duration = Duration::from_secs(4);
+/// Length in bytes above which a node takes its first configuration from a relay. A shorter one arrives sooner from
+/// the store.
+const LONG_REPLY: usize = 64 << 10;
+/// Pause between two reads of the nodes' keys while this node follows no relay. Such reads cost little.
 const NODES_INTERVAL: Duration = Duration::from_millis(700);
-const NODES_INTERVAL_SPREAD: Duration = Duration::from_millis(300);
+/// Upper bound of the random time that is added to [`NODES_INTERVAL`].
+const NODES_INTERVAL_JITTER: Duration = Duration::from_millis(300);
 
 impl Watcher {
-    /// Reads what the node needs first, and waits for a relay. The revision from which on to watch, if
-    /// that is known.
+    /// Reads the keys that the node needs first, and waits for a relay. Returns the store revision to watch from, if
+    /// the newest keys were read; `None` if this node follows a relay or has to read the keys again.
     pub(super) async fn start(&mut self) -> Option<StoreRevision> {
         let feed = self.parts.feed.clone();
         let began = Instant::now();
-        let mut until = began + self.relay_awaited();
+        let mut until = began + self.relay_wait();
         let mut read_at = None;
         loop {
-            // What a relay sends meanwhile may be newer than a large answer once it has arrived.
+            // The read is abandoned once a relay is followed: by the time a large reply has arrived, the relay's
+            // updates may be newer.
             let read = tokio::select! {
                 biased;
                 () = feed.until_subscribed() => return None,
@@ -47,8 +48,8 @@
             };
             match read {
                 Ok(read) => read_at = read.or(read_at),
-                Err(StoreError::LongAnswer { .. }) => until = began + RELAY_AWAITED_FOR_LONG,
-                // Dropped: the loop reads again, and `Watcher::run` logs the first failure of its own reads.
+                Err(StoreError::LongAnswer { .. }) => until = began + RELAY_WAIT_FOR_LONG_REPLY,
+                // Not logged here: the loop reads again, and `Watcher::run` logs the first failure of its own reads.
                 Err(_) => {}
             }
             tokio::select! {
@@ -62,34 +63,34 @@
         }
     }
 
-    fn relay_awaited(&self) -> Duration {
+    fn relay_wait(&self) -> Duration {
         match self.parts.cx.settings.node.first_start {
-            true => RELAY_AWAITED_AT_FIRST_START,
-            false => RELAY_AWAITED,
+            true => RELAY_WAIT_AT_FIRST_START,
+            false => RELAY_WAIT,
         }
     }
 
-    /// When the keys are read again if no relay has been found by then, at `until` at the latest.
+    /// When the keys are read again if this node follows no relay by then; `until` at the latest.
     fn next_read(&self, until: Instant) -> Instant {
-        let spread = NODES_INTERVAL_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0));
-        match self.watched.subject {
-            Subject::Nodes => until.min(Instant::now() + NODES_INTERVAL + spread),
+        let jitter = NODES_INTERVAL_JITTER.mul_f64(rand::rng().random_range(0.0..1.0));
+        match self.spec.subject {
+            Subject::Nodes => until.min(Instant::now() + NODES_INTERVAL + jitter),
             Subject::Configuration | Subject::Announcements => until,
         }
     }
 
-    /// Reads the keys for the first time; the revision from which on to watch, if they are the newest.
+    /// Reads the keys for the first time; returns the store revision to watch from if the newest keys were read.
     async fn first_read(&mut self) -> Result<Option<StoreRevision>, StoreError> {
-        let range = self.watched.range();
-        match self.watched.first {
-            // No caller is served yet, and a relay will have them.
+        let range = self.spec.range();
+        match self.spec.first_read {
+            // Nothing is read: there are no callers yet, and a relay will send the keys.
             FirstRead::Newest if self.parts.cx.settings.node.first_start => Ok(None),
             FirstRead::Newest => self.read(RangeRequest::all(range)).await.map(Some),
             FirstRead::Stale => {
                 let request = RangeRequest::stale(range);
-                let request = match self.watched.subject {
-                    Subject::Configuration => request.unless_longer_than(LONG_ANSWER),
-                    // Without the nodes' keys no relay is known, however long they are.
+                let request = match self.spec.subject {
+                    Subject::Configuration => request.unless_longer_than(LONG_REPLY),
+                    // Read whatever their length: without the nodes' keys no relay is known.
                     Subject::Nodes | Subject::Announcements => request,
                 };
                 self.read(request).await.map(|_| None)
--- a/crates/dyketally-gateway/src/store/watch/watched.rs
+++ b/crates/dyketally-gateway/src/store/watch/watched.rs
@@ -1,4 +1,4 @@
-//! What a node watches in the store, and how. Values only.
+//! Describes a watch of the store: which keys, how they are first_read read, and how changes are batched. Values only.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 
 use crate::store::feed::Subject;
 
-/// The keys below one prefix.
+/// Describes the watch of all keys below one prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Watched {
-    /// What the keys begin with.
+pub struct WatchSpec {
+    /// The prefix of the keys.
     pub prefix: String,
-    /// How long to pause after a change before the watch goes on: changes that come close together
-    /// then arrive with one call.
-    pub gathering: Gathering,
-    /// Under which subject relays pass the keys on.
+    /// How long to pause after a change before the watch continues, so that changes in quick succession arrive in one
+    /// batch.
+    pub batching: ChangeBatching,
+    /// The subject as which relays forward the keys.
     pub subject: Subject,
-    /// How the keys are read first.
-    pub first: FirstRead,
+    /// How the keys are read when the node starts.
+    pub first_read: FirstRead,
 }
 
-impl Watched {
-    /// All keys below the prefix.
+impl WatchSpec {
+    /// The range of all keys below the prefix.
     pub fn range(&self) -> KeyRange {
         KeyRange::prefix(&self.prefix)
     }
@@ -30,18 +30,18 @@
 /// How keys are read when a node starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstRead {
-    /// As they are now.
+    /// The newest values (a linearizable read).
     Newest,
-    /// As they may have been some seconds ago, which costs the store less. A relay or the next read
-    /// brings what is missing.
+    /// Values that may be some seconds old, which cost the store less. A relay or the next read brings newer ones.
     Stale,
 }
 
-/// How long to pause after a change.
+/// How long a watch pauses after a change, to batch changes in quick succession.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gathering {
-    /// So long for each key beyond a few, since many nodes tend to start together.
+pub enum ChangeBatching {
+    /// This long for each key beyond the first_read few: with many keys, many tend to change together, for example when
+    /// nodes start.
     PerKey(Duration),
-    /// Longer and longer within a burst of changes.
+    /// Longer with each further change of a burst.
     Bursts,
 }
