--- a/crates/dyketally-gateway/src/node/exposition.rs
+++ b/crates/dyketally-gateway/src/node/exposition.rs
@@ -1,5 +1,5 @@
-//! The text of the metrics: what was counted and timed since the start of the process, and how things
-//! stand as they are asked for.
+//! Writes the metrics as text: counters and timings since the start of the process, and gauges of its state at the
+//! time of the request.
 
 use prometheus::{Encoder, Gauge, IntGaugeVec, Opts, Registry, TextEncoder};
 use serde_json::Value;
@@ -12,26 +12,26 @@
     Exposition { gateway }.text()
 }
 
-/// The state of a process, as it is told by its metrics.
+/// Collects the metrics of one process.
 struct Exposition<'a> {
     gateway: &'a Gateway,
 }
 
 impl Exposition<'_> {
     fn text(&self) -> String {
-        let now = Registry::new();
-        self.collect_counters(&now);
-        self.collect_state(&now);
+        let state_registry = Registry::new();
+        self.collect_counters(&state_registry);
+        self.collect_state(&state_registry);
         let mut families = self.gateway.cx.measures.gather();
-        families.extend(now.gather());
+        families.extend(state_registry.gather());
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&families, &mut text) {
-            return format!("# the metrics can't be written: {error}\n");
+            return format!("# the metrics can't be encoded: {error}\n");
         }
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// The counters of the log under their names there.
+    /// Collects the log's counters, under `dyketally_<name in the log>_total`.
     fn collect_counters(&self, registry: &Registry) {
         let Ok(Value::Object(counters)) = serde_json::to_value(&self.gateway.cx.counters) else {
             return;
@@ -40,11 +40,21 @@
             match value {
                 Value::Number(count) => {
                     let name = format!("dyketally_{name}_total");
-                    gauge(registry, &name, "See the log's counters.", count.as_f64());
+                    gauge(
+                        registry,
+                        &name,
+                        "Counter of the log, under the same name there.",
+                        count.as_f64(),
+                    );
                 }
                 Value::Object(kinds) => {
                     let name = format!("dyketally_{name}_total");
-                    let vec = gauges(registry, &name, "See the log's counters.", &["kind"]);
+                    let vec = gauges(
+                        registry,
+                        &name,
+                        "Counter of the log, under the same name there.",
+                        &["kind"],
+                    );
                     for (kind, count) in kinds {
                         let count = count.as_i64().unwrap_or_default();
                         vec.with_label_values(&[&kind]).set(count);
@@ -55,6 +65,7 @@
         }
     }
 
+    /// Collects gauges of the current state.
     fn collect_state(&self, registry: &Registry) {
         let set = |name: &str, help: &str, value: usize| {
             gauge(registry, name, help, Some(value as f64));
@@ -66,19 +77,19 @@
         );
         set(
             "dyketally_nodes",
-            "Nodes that run.",
+            "Running nodes that this node knows of, itself included.",
             self.gateway.fleet.membership.node_count(),
         );
         let has_duty = usize::from(self.gateway.fleet.coordinator.last_term().is_some());
         set(
             "dyketally_duty",
-            "1 while this node replaces primaries.",
+            "1 while this node is the failover coordinator, which replaces primaries.",
             has_duty,
         );
         let in_touch = usize::from(self.gateway.cx.is_in_touch());
         set(
             "dyketally_in_touch",
-            "1 while this node hears of successions.",
+            "1 while this node's contact ensures that it would learn of a replaced primary.",
             in_touch,
         );
         let routes = self.gateway.cx.routes();
@@ -86,14 +97,14 @@
         gauge(
             registry,
             "dyketally_configuration_revision",
-            "Revision of the configuration in force.",
+            "Revision of the current configuration.",
             Some(revision),
         );
         if let Some(age) = self.gateway.cx.configuration_age() {
             gauge(
                 registry,
                 "dyketally_configuration_age_seconds",
-                "Time since the configuration was confirmed to be the newest one.",
+                "Time since the configuration was last confirmed to be the newest one, in seconds.",
                 Some(age.as_secs_f64()),
             );
         }
@@ -101,11 +112,11 @@
         gauge(
             registry,
             "dyketally_watch_lost_seconds",
-            "Time for which this node's own watch of the store has been lost; 0 while it stands.",
+            "Time for which a watch of the store by this node has been lost, in seconds; 0 while none is.",
             lost_for.map(|lost_for| lost_for.as_secs_f64()),
         );
         let name = "dyketally_sent_bytes_to_node_total";
-        let sent = gauges(registry, name, "Bytes sent to another node.", &["node"]);
+        let sent = gauges(registry, name, "Bytes sent to each other node.", &["node"]);
         for (node, bytes) in self.gateway.fleet.traffic.by_node() {
             let bytes = i64::try_from(bytes).unwrap_or(i64::MAX);
             sent.with_label_values(&[node.as_str()]).set(bytes);
@@ -119,7 +130,7 @@
         gauge(
             registry,
             "dyketally_replica_lag_seconds",
-            "Time that commits are expected to take to replicas.",
+            "Expected time from a commit until replicas have it, in seconds.",
             Some(lag.as_secs_f64()),
         );
         self.collect_places(registry);
@@ -127,12 +138,12 @@
         self.collect_slow_starts(registry);
     }
 
-    /// Databases whose group has a slow start.
+    /// Collects the slow start of each database whose group has one.
     fn collect_slow_starts(&self, registry: &Registry) {
         let loads = gauges(
             registry,
             "dyketally_slow_start",
-            "Whether a database may be cold, what this node may send to it then, and what became of it.",
+            "A database in slow start: whether it may be cold, this node's rate to it, and requests sent and refused.",
             &["database", "what"],
         );
         for (name, pacer) in self.gateway.databases.pacers() {
@@ -152,12 +163,12 @@
         }
     }
 
-    /// Where operators allow statements to run.
+    /// Collects where operators allow statements to run: evacuated zones and restricted regions.
     fn collect_places(&self, registry: &Registry) {
         let evacuated = gauges(
             registry,
             "dyketally_evacuated",
-            "1 for each zone whose databases get nothing more.",
+            "1 for each evacuated zone, whose databases get no further statements.",
             &["zone"],
         );
         for zone in self.gateway.databases.evacuated_zones() {
@@ -166,7 +177,7 @@
         let serving = gauges(
             registry,
             "dyketally_serving_region",
-            "1 for each region that may serve a route which not all regions serve.",
+            "1 for each region that may serve the route; only for routes restricted to some regions.",
             &["route", "region"],
         );
         let routes = self.gateway.cx.routes();
@@ -181,22 +192,23 @@
         gauge(
             registry,
             "dyketally_bound_tenants",
-            "Tenants that not all regions serve.",
+            "Number of tenants restricted to some regions.",
             Some(bound.count() as f64),
         );
     }
 
+    /// Collects the connection pool of each database, and whether it is its group's primary.
     fn collect_databases(&self, registry: &Registry) {
         let pools = gauges(
             registry,
             "dyketally_pool",
-            "Connections of this node to a database, their limit, and who waits.",
+            "Connections of this node to a database, their limit, and statements that wait for one.",
             &["database", "what"],
         );
         let leads = gauges(
             registry,
             "dyketally_leads",
-            "1 for the database that is taken for its group's primary.",
+            "1 for the database that this node treats as its group's primary.",
             &["group", "database"],
         );
         let directory = self.gateway.databases.directory.borrow();
--- a/crates/dyketally-gateway/src/node/listen.rs
+++ b/crates/dyketally-gateway/src/node/listen.rs
@@ -1,11 +1,11 @@
-//! The sockets that a process listens on.
+//! Binds the TCP sockets that a process listens on.
 
 use std::net::SocketAddr;
 
 use eyre::WrapErr;
 use tokio::net::TcpListener;
 
-/// Listens on `address`, which the settings name in `field`.
+/// Listens on `address`, which is set in the settings under `field`.
 ///
 /// # Errors
 /// The address can't be bound.
--- a/crates/dyketally-gateway/src/node/metrics.rs
+++ b/crates/dyketally-gateway/src/node/metrics.rs
@@ -1,4 +1,4 @@
-//! Serves the metrics over HTTP/1.1.
+//! Serves the metrics over HTTP/1.1, at the path `/metrics`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,19 +12,19 @@
 use crate::gateway::Gateway;
 
 const PATH: &str = "/metrics";
-/// Pause before a connection is accepted after a failure; not measured.
+/// Pause before the next attempt to accept a connection after one has failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// How long one request may take.
-const REQUEST_LIMIT: Duration = Duration::from_secs(5);
-/// The media type of the text format.
+/// Timeout for one request, from the accepted connection to the sent response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Media type of the text format of metrics.
 const TEXT_FORMAT: &str = "text/plain; version=0.0.4";
 
-/// Serves requests, each on a connection of its own, until the process ends.
+/// Serves requests until the process ends; each connection is closed after one request.
 pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         let stream = accept(&listener, ACCEPT_PAUSE).await;
         let serving = serve_one(gateway.clone(), stream);
-        tokio::task::spawn_local(tokio::time::timeout(REQUEST_LIMIT, serving));
+        tokio::task::spawn_local(tokio::time::timeout(REQUEST_TIMEOUT, serving));
     }
 }
 
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -1,6 +1,6 @@
-//! One process of the gateway, assembled from settings and adapters, from start to planned stop.
+//! One process of the gateway, from start to planned stop: builds its parts from settings and adapters, and runs them.
 //!
-//! Owns the process's sockets and tasks; relies on all other parts, and nothing relies on it.
+//! Owns the process's sockets and tasks. Relies on all other modules; none relies on it.
 
 mod exposition;
 mod listen;
@@ -46,40 +46,41 @@
 use crate::succession::failover::Failover;
 use crate::succession::fence::FenceKeeper;
 
-/// Pause between two rounds of tidying up.
+/// Pause between two calls of [`Gateway::tidy`].
 const TIDY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What connects the gateway to the world around it.
+/// The adapters through which the gateway reaches callers, databases, the store and the platform.
 pub struct Adapters {
     /// The protocol of callers.
     pub callers: SharedCallerProtocol,
     /// The protocol of databases.
     pub databases: SharedDatabaseProtocol,
-    /// The store.
+    /// The client of the store.
     pub store: Rc<dyn KeyValueStore>,
-    /// What a [`MeteredStore`](crate::store::metered_store::MeteredStore) around it counts.
+    /// The counters of calls to the store, if `store` is wrapped in a
+    /// [`MeteredStore`](crate::store::metered_store::MeteredStore).
     pub store_calls: Arc<StoreCalls>,
-    /// What lies in the store.
+    /// The names and encodings of the documents in the store.
     pub documents: Rc<dyn StoredDocuments>,
-    /// Who appoints primaries.
+    /// The control plane that appoints primaries.
     pub control: Rc<dyn PrimaryControl>,
-    /// How readiness is asked for.
+    /// The protocol of readiness probes.
     pub readiness: Rc<dyn ReadinessProtocol>,
 }
 
-/// Runs the process until it is told to stop. Must be called within a `LocalSet`.
+/// Runs the process until it has stopped after a SIGTERM. Must be called within a `LocalSet`.
 ///
 /// # Errors
 /// An address can't be bound, or signals can't be received.
 pub async fn run(settings: Settings, adapters: Adapters) -> eyre::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let callers = bind(settings.listen.callers, "listen.callers").await?;
-    let probes = bind(settings.listen.readiness, "listen.readiness").await?;
+    let caller_listener = bind(settings.listen.callers, "listen.callers").await?;
+    let readiness_listener = bind(settings.listen.readiness, "listen.readiness").await?;
     let socket = UdpSocket::bind(settings.listen.peers)
         .await
-        .wrap_err("can't listen on `listen.peers`; choose a free address of this machine")?;
-    let forwarded = bind(settings.listen.peers, "listen.peers").await?;
+        .wrap_err("can't listen on `listen.peers` (UDP); choose a free address of this machine")?;
+    let peer_listener = bind(settings.listen.peers, "listen.peers").await?;
     let metrics = match settings.listen.metrics {
         Some(address) => Some(bind(address, "listen.metrics").await?),
         None => None,
@@ -120,7 +121,7 @@
     tokio::task::spawn_local(readiness::serve(
         gateway.clone(),
         adapters.readiness,
-        probes,
+        readiness_listener,
     ));
     if let Some(listener) = metrics {
         tokio::task::spawn_local(metrics::serve(gateway.clone(), listener));
@@ -131,7 +132,7 @@
     tokio::task::spawn_local(listener::serve(
         gateway.access.clone(),
         serve_feed,
-        forwarded,
+        peer_listener,
     ));
     let requests = Rc::new(RequestHandler(gateway.clone()));
     tokio::task::spawn_local(peers.clone().run(requests));
@@ -141,28 +142,30 @@
     tokio::task::spawn_local(ask_seeds(gateway.feed.clone(), peers.clone()));
     tokio::task::spawn_local(failover.run());
     tokio::task::spawn_local(liveness.run());
-    let registered = tokio::task::spawn_local(registration.run());
-    let coordinating = tokio::task::spawn_local(coordinator.run());
+    let registration_ended = tokio::task::spawn_local(registration.run());
+    let coordination_ended = tokio::task::spawn_local(coordinator.run());
     tokio::task::spawn_local(tidy(gateway.clone()));
     tokio::task::spawn_local(log_unconfirmed(gateway.cx.clone(), gateway.feed.clone()));
     updates::watch_store(&gateway, &parts, &adapters.documents);
-    let accepting = tokio::task::spawn_local(gateway.sessions.clone().serve_callers(callers));
+    let accepting =
+        tokio::task::spawn_local(gateway.sessions.clone().serve_callers(caller_listener));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = hangup.recv() => gateway.cx.events.write(&Event::SettingsChanged {
-                effect: "the settings in force stay; restart the process to apply the file",
+                effect: "the current settings stay in use; restart the process to apply the changed file",
             }),
         }
     }
-    let left = futures::future::join(registered, coordinating);
-    stop::stop(&gateway, left, accepting).await;
+    let keys_released = futures::future::join(registration_ended, coordination_ended);
+    stop::stop(&gateway, keys_released, accepting).await;
     peers.broadcast(&PeerMessage::Ends {
         node: gateway.cx.settings.node.name.clone(),
     });
     Ok(())
 }
 
+/// Calls [`Gateway::tidy`] periodically until the process ends.
 async fn tidy(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(TIDY_INTERVAL).await;
@@ -170,7 +173,7 @@
     }
 }
 
-/// What other nodes have to know of this one.
+/// This node's record in the store, for other nodes.
 fn own_record(gateway: &Gateway) -> NodeRecord {
     let settings = &gateway.cx.settings;
     NodeRecord {
--- a/crates/dyketally-gateway/src/node/nodes_handler.rs
+++ b/crates/dyketally-gateway/src/node/nodes_handler.rs
@@ -1,5 +1,5 @@
-//! Applies updates of the keys that nodes keep in the store: nodes, the failover coordinator and fences.
-//! Owns nothing; relies on the names of keys and on the parts that keep the state.
+//! Applies updates of the keys that nodes keep in the store: node records, the failover coordinator and fences.
+//! Owns nothing; relies on the names of keys, and on the modules that keep the state.
 
 use std::rc::Rc;
 
@@ -17,12 +17,12 @@
 }
 
 impl NodesHandler {
-    /// A handler for the node that has `keys`.
+    /// A handler that recognizes the keys by `keys` and applies them to `gateway`.
     pub(super) fn new(gateway: Rc<Gateway>, keys: Rc<Keys>) -> Self {
         Self { gateway, keys }
     }
 
-    /// Applies an update.
+    /// Applies an update and notifies everything that depends on the list of nodes.
     pub(super) fn receive(&self, update: StoreUpdate) {
         self.receive_fences(&update);
         self.receive_nodes(update);
@@ -32,6 +32,7 @@
         self.gateway.nodes_changed();
     }
 
+    /// Sets and clears this node's fences.
     fn receive_fences(&self, update: &StoreUpdate) {
         let entries = match update {
             StoreUpdate::All(entries) => entries.as_slice(),
@@ -50,6 +51,7 @@
         });
     }
 
+    /// Updates the list of nodes and the coordinator's record.
     fn receive_nodes(&self, update: StoreUpdate) {
         let fleet = &self.gateway.fleet;
         match update {
@@ -67,7 +69,8 @@
         }
     }
 
-    /// The node whose own key an entry is; records the coordinator if it is that one's.
+    /// The node record in an entry, if it is one. An entry of the coordinator is recorded instead; one of a fence is
+    /// ignored.
     fn receive_entry(&self, entry: &Entry) -> Option<NodeRecord> {
         if self.keys.fenced(&entry.key).is_some() {
             return None;
@@ -79,6 +82,7 @@
         NodeRecord::read(entry)
     }
 
+    /// Removes the coordinator's record, or the node that a deleted key belongs to.
     fn receive_deletion(&self, key: &Key) {
         let fleet = &self.gateway.fleet;
         if key == &self.keys.coordinator() {
--- a/crates/dyketally-gateway/src/node/peer_requests.rs
+++ b/crates/dyketally-gateway/src/node/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Answers the datagrams of other nodes that concern the layers above the fleet.
+//! Handles the datagrams of other nodes that concern modules in layers above `fleet`.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use crate::fleet::peer::PeerRequests;
 use crate::gateway::Gateway;
 
-/// The parts that answer.
+/// Forwards each request to the module that answers it.
 pub(super) struct RequestHandler(pub(super) Rc<Gateway>);
 
 #[async_trait(?Send)]
--- a/crates/dyketally-gateway/src/node/readiness.rs
+++ b/crates/dyketally-gateway/src/node/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers readiness probes over HTTP/1.1.
+//! Answers readiness probes over HTTP/1.1. The adapter's protocol decides what a response says.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,12 +10,13 @@
 use crate::gateway::Gateway;
 use crate::ports::ReadinessProtocol;
 
-/// Longest head of a request.
-const HEAD_AT_MOST: usize = 4_096;
-/// How long a probing connection may rest.
-const REST_LIMIT: Duration = Duration::from_secs(30);
-/// Pause before a connection is accepted after a failure; not measured.
+/// Maximum length of a request's head in bytes.
+const MAX_HEAD_BYTES: usize = 4_096;
+/// Maximum lifetime of a probe's connection.
+const CONNECTION_LIMIT: Duration = Duration::from_secs(30);
+/// Pause before the next attempt to accept a connection after one has failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The empty line that ends a request's head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// Serves probes until the process ends.
@@ -27,7 +28,7 @@
     loop {
         let stream = accept(&listener, ACCEPT_PAUSE).await;
         let probes = answer_probes(gateway.clone(), protocol.clone(), stream);
-        tokio::task::spawn_local(tokio::time::timeout(REST_LIMIT, probes));
+        tokio::task::spawn_local(tokio::time::timeout(CONNECTION_LIMIT, probes));
     }
 }
 
@@ -44,8 +45,8 @@
     Ok(())
 }
 
-/// The head of the next request, taken out of `input`, which keeps what was read beyond it; `None` when
-/// the connection ends or the head is too long.
+/// Reads the next request's head from `stream` and removes it from `input`, which keeps the bytes read beyond it;
+/// `None` when the connection ends or the head is too long.
 pub(super) async fn next_head(
     stream: &mut TcpStream,
     input: &mut Vec<u8>,
@@ -56,13 +57,13 @@
             input.drain(..end);
             return Ok(Some(head));
         }
-        if input.len() > HEAD_AT_MOST || stream.read_buf(input).await? == 0 {
+        if input.len() > MAX_HEAD_BYTES || stream.read_buf(input).await? == 0 {
             return Ok(None);
         }
     }
 }
 
-/// Where the head of a request ends, once it is whole.
+/// The length of the request's head, its empty line included; `None` while it is incomplete.
 fn head_end(bytes: &[u8]) -> Option<usize> {
     let mut windows = bytes.windows(HEAD_END.len());
     let start = windows.position(|window| window == HEAD_END)?;
--- a/crates/dyketally-gateway/src/node/stop.rs
+++ b/crates/dyketally-gateway/src/node/stop.rs
@@ -1,5 +1,5 @@
-//! The planned stop, phase by phase: the node stops being ready, gives back its keys, and ends sessions
-//! and transactions before the time to stop is over.
+//! The planned stop of a process, phase by phase: the node stops being ready, removes its keys from the store, and
+//! ends sessions and transactions within the time allowed by the setting `bounds.stop_s`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,39 +10,41 @@
 use crate::event::Event;
 use crate::gateway::Gateway;
 
-/// Share of the time to stop after which the process ends whatever is open.
-const STOP_SHARE: f64 = 0.85;
-/// Share of the time to stop that open transactions get.
+/// Share of the time to stop after which the process ends even if sessions are still open.
+const END_SHARE: f64 = 0.85;
+/// Share of the time to stop for which open transactions may continue.
 const TRANSACTIONS_SHARE: f64 = 0.52;
-/// How long probes take to notice that the node isn't ready, and callers to go elsewhere.
-const NOTICED_AFTER: Duration = Duration::from_millis(2_300);
-/// How long giving back the node's keys may take.
-const LEAVE_LIMIT: Duration = Duration::from_millis(500);
-/// Pause between two looks whether all sessions have ended.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Time for probes to notice that the node isn't ready, and for callers to go to other nodes; connections are
+/// accepted until then.
+const NOTICED_WITHIN: Duration = Duration::from_millis(2_300);
+/// Timeout for removing the node's keys from the store.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause between two checks whether all sessions have ended.
+const SESSION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Stops as planned. `left` ends once the node's keys are given back.
+/// Runs the planned stop. `keys_released` completes once the node's keys are removed from the store; `accepting` is
+/// the task that accepts callers.
 pub(super) async fn stop(
     gateway: &Rc<Gateway>,
-    left: impl Future,
+    keys_released: impl Future,
     accepting: tokio::task::JoinHandle<()>,
 ) {
     let began = Instant::now();
-    let bound = gateway.cx.settings.bounds.stop();
-    let last = began + bound.mul_f64(STOP_SHARE);
-    let transactions = began + bound.mul_f64(TRANSACTIONS_SHARE);
+    let time_to_stop = gateway.cx.settings.bounds.stop();
+    let end = began + time_to_stop.mul_f64(END_SHARE);
+    let transactions_end = began + time_to_stop.mul_f64(TRANSACTIONS_SHARE);
     gateway.cx.events.write(&Event::Stopping {
         sessions: gateway.sessions.open(),
     });
     gateway.cx.stop.enter(StopPhase::Leaving);
-    // The leases run out by themselves if the store doesn't answer.
-    let _ = tokio::time::timeout(LEAVE_LIMIT, left).await;
-    tokio::time::sleep_until((began + NOTICED_AFTER).min(transactions)).await;
+    // If the store doesn't answer in time, the leases lapse by themselves and the store removes the keys.
+    let _ = tokio::time::timeout(LEAVE_TIMEOUT, keys_released).await;
+    tokio::time::sleep_until((began + NOTICED_WITHIN).min(transactions_end)).await;
     accepting.abort();
     gateway.cx.stop.enter(StopPhase::ClosingSessions);
-    wait_for_sessions(gateway, transactions).await;
+    wait_for_sessions(gateway, transactions_end).await;
     gateway.cx.stop.enter(StopPhase::EndingTransactions);
-    wait_for_sessions(gateway, last).await;
+    wait_for_sessions(gateway, end).await;
     gateway.tell_counters();
     gateway.cx.events.write(&Event::Traffic {
         sent_bytes: gateway.fleet.traffic.by_node(),
@@ -52,8 +54,9 @@
     });
 }
 
+/// Waits until all sessions and calls from other nodes have ended, or until `until`.
 async fn wait_for_sessions(gateway: &Rc<Gateway>, until: Instant) {
     while gateway.sessions.open() + gateway.fleet.calls.get() > 0 && Instant::now() < until {
-        tokio::time::sleep(STOP_LOOK).await;
+        tokio::time::sleep(SESSION_CHECK_INTERVAL).await;
     }
 }
--- a/crates/dyketally-gateway/src/store/feed/relays.rs
+++ b/crates/dyketally-gateway/src/store/feed/relays.rs
@@ -130,8 +130,8 @@
     }
 
     /// The relays for a node of `zone` that `usable` accepts, in order of preference: those of the zone, then a few of
-    /// other zones. A node to which all of these are out of contact gets further ones at its next search, since the
-    /// first ones are excluded by then.
+    /// other zones. A node that finds all of these out of contact gets further ones at its next search, since the first
+    /// ones are excluded by then.
     fn ranked_relays(
         &self,
         zone: &ZoneName,
--- a/crates/dyketally-gateway/src/store/feed/subscription.rs
+++ b/crates/dyketally-gateway/src/store/feed/subscription.rs
@@ -28,8 +28,8 @@
 /// Pause between two pings. A contact with the store is valid for 2.9 s, and the relay's own is at most 0.8 s old, so
 /// three pings may be lost.
 const PING_INTERVAL: Duration = Duration::from_millis(700);
-/// Pause between two pings while the relay has lost the store: its contact with the other nodes, on which this node
-/// then depends, is valid for 0.9 s only.
+/// Pause between two pings while the relay has lost the store: its contact with the other nodes is valid for
+/// only 0.9 s.
 const PING_INTERVAL_IN_OUTAGE: Duration = Duration::from_millis(300);
 /// Age of a relay's contact with the store from which on it is pinged as often as in an outage. A relay renews its
 /// lease every 0.7 s, and a follower has to leave a relay that has lost the store early enough for another relay's
@@ -42,8 +42,8 @@
 /// Pause between two checks whether this node should watch the store itself, for example as a new relay. The check
 /// ranks all nodes; to do so after each of many updates would cost more than the updates themselves.
 const CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// How long a relay whose own watch was lost follows another relay before it tries to watch the store again. During
-/// such an attempt it gets no updates, and a failed attempt may use up its link for nothing.
+/// How long a relay or coordinator whose own watch was lost follows another relay before it tries to watch the store
+/// again. During such an attempt it gets no updates, and a failed attempt may use up its link for nothing.
 const WATCH_RETRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Which relays are accepted.
@@ -126,7 +126,7 @@
     last_check: Instant,
     /// True while the relay reports that it has lost the store.
     relay_lost_store: bool,
-    /// True while the relay's contact with the store is older than [`STORE_QUIET`].
+    /// True while the relay reports no contact with the store within [`STORE_QUIET`].
     store_is_quiet: bool,
 }
 
--- a/crates/dyketally-gateway/tests/stored_keys.rs
+++ b/crates/dyketally-gateway/tests/stored_keys.rs
@@ -1,7 +1,7 @@
-//! Keys and values that nodes keep in the store.
+//! The encoding of the keys and values that nodes keep in the store.
 //!
-//! Nodes of two builds run side by side while a release rolls out, and read each other's keys: neither a
-//! key nor a field of a record may get another name. Each fixture is read back as well.
+//! Nodes of two builds run side by side while a release rolls out and read each other's keys, so no key and no field
+//! of a record may be renamed. Each fixture is decoded, too.
 
 use std::net::SocketAddr;
 
@@ -16,11 +16,11 @@
 
 const PREFIX: &str = "proxy/";
 
-/// What a node keeps under its name, and the failover coordinator under its own key.
+/// The record that a node puts under its own key and, as the failover coordinator, under the coordinator's.
 const RECORD: &str = r#"{"node":"n-1","address":"10.0.0.7:7401","locality":{"region":"south","zone":"south-a"},"weight":16,"link":4}"#;
-/// The same of a build that doesn't know links yet.
+/// The record of a node of an older build, which has no links.
 const RECORD_WITHOUT_LINK: &str = r#"{"node":"n-1","address":"10.0.0.7:7401","locality":{"region":"south","zone":"south-a"},"weight":16}"#;
-/// The same of a node that listens on IPv6.
+/// The record of a node that listens on IPv6.
 const RECORD_ON_IPV6: &str = r#"{"node":"n-1","address":"[::1]:7401","locality":{"region":"south","zone":"south-a"},"weight":16,"link":0}"#;
 
 fn record(address: &str, link: LinkClass) -> NodeRecord {
@@ -83,7 +83,8 @@
     assert_eq!(fenced, database.map(DatabaseName::from));
 }
 
-/// A database may have the name of a node: that its fence is lifted doesn't remove the node.
+/// A database may have the name of a node, so the key of its fence must not be taken for the node's: otherwise
+/// clearing the fence would remove the node.
 #[rstest]
 #[case::of_a_node("proxy/nodes/n-2", Some("n-2"))]
 #[case::of_a_node_whose_name_has_a_slash("proxy/nodes/a/b", Some("a/b"))]
@@ -109,18 +110,14 @@
 
 #[rstest]
 #[case::with_its_link(RECORD, "10.0.0.7:7401", LinkClass::of_megabits(300.0))]
-#[case::of_a_build_that_does_not_tell_links(
-    RECORD_WITHOUT_LINK,
-    "10.0.0.7:7401",
-    LinkClass::default()
-)]
+#[case::of_a_build_without_links(RECORD_WITHOUT_LINK, "10.0.0.7:7401", LinkClass::default())]
 #[case::on_ipv6(RECORD_ON_IPV6, "[::1]:7401", LinkClass::default())]
 fn a_record_is_read(#[case] json: &str, #[case] address: &str, #[case] link: LinkClass) {
     let read: NodeRecord = serde_json::from_str(json).expect("a record");
     assert_eq!(read, record(address, link));
 }
 
-/// A later build may tell more of a node.
+/// A later build may add fields to a record.
 #[test]
 fn a_record_with_fields_of_a_later_build_is_read() {
     let later = RECORD.replace(r#""weight""#, r#""later":{"x":1},"weight""#);
@@ -134,7 +131,7 @@
 )]
 #[case::empty("")]
 #[case::the_round_of_a_fence("12")]
-fn what_is_no_record_is_not_read(#[case] json: &str) {
+fn invalid_records_are_rejected(#[case] json: &str) {
     assert!(serde_json::from_str::<NodeRecord>(json).is_err());
 }
 
@@ -148,7 +145,7 @@
     assert_eq!(&put.value[..], b"18446744073709551615");
 }
 
-/// Text that is no round counts as a round of its own: the revision at which it was put.
+/// A value that is no round counts as a separate round, numbered by the revision at which it was put.
 #[rstest]
 #[case::a_round(b"77", 77)]
 #[case::the_greatest_round(b"18446744073709551615", u64::MAX)]
