--- a/crates/dyketally-gateway/src/fleet/access.rs
+++ b/crates/dyketally-gateway/src/fleet/access.rs
@@ -1,6 +1,6 @@
-//! Access to databases for the layers above: over a connection of this node's own pool, or one that a home
-//! keeps, and by way of another node while this one is cut off. [`super::homes`] says which of these; a home
-//! ([`super::home`]) asks for a permission of its own before it sends.
+//! Access to databases for the layers above: over a connection of this node's own pool or of a home, and
+//! through a forwarding node while this node can't reach the database directly. [`super::homes`] determines
+//! the path; a home ([`super::home`]) obtains its own permission before it sends.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,15 +23,15 @@
 use crate::fleet::connection::DatabaseConnection;
 use crate::fleet::link::{CallError, HomeCall};
 
-/// Silence after which a primary is probed while a statement goes on waiting for it. Not measured.
-const SILENCE: Duration = Duration::from_millis(200);
+/// Time without an answer after which a primary is probed, while the statement keeps waiting for it.
+const PROBE_AFTER: Duration = Duration::from_millis(200);
 
-/// How this node reaches a database.
+/// The path by which this node reaches a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Access {
-    /// Over connections of its own.
+enum ConnectionPath {
+    /// Over connections of this node's own pool.
     Own,
-    /// By way of one of these homes, in the order of preference.
+    /// Through one of these nodes, in the order of preference.
     ViaHomes(Rc<[SocketAddr]>),
 }
 
@@ -40,11 +40,11 @@
 pub enum ExchangeError {
     /// No step was run.
     NotRun(FailureKind),
-    /// It was sent, and any step may have run.
+    /// The batch was sent and its answers were lost, so that any step may have run.
     Lost(Broken),
 }
 
-/// Access to databases by all ways that this node has.
+/// Access to databases by all paths that this node has.
 pub struct DatabaseAccess {
     /// The nodes.
     pub fleet: Rc<Fleet>,
@@ -53,27 +53,28 @@
 }
 
 impl DatabaseAccess {
-    /// Access to `databases` by way of the nodes of `fleet`.
+    /// Gives access to `databases`, directly and through the nodes of `fleet`.
     pub fn new(fleet: Rc<Fleet>, databases: Rc<Databases>) -> Rc<Self> {
         Rc::new(Self { fleet, databases })
     }
 
-    /// A connection to `target`.
+    /// Acquires a connection to `target` for a session with `values`.
     ///
     /// # Errors
-    /// Why there is none.
+    /// No connection of this node's own pool was available; tells why. A connection through a home is
+    /// acquired only when its first batch runs.
     pub async fn connect(
         self: &Rc<Self>,
         target: &Target,
         values: &BTreeMap<String, String>,
         claim: Claim,
     ) -> Result<DatabaseConnection, FailureKind> {
-        match self.access_to(&target.name, &claim) {
-            Access::ViaHomes(homes) => {
+        match self.path_to(&target.name, &claim) {
+            ConnectionPath::ViaHomes(homes) => {
                 let call = HomeCall::new(self.clone(), target.name.clone(), homes, claim);
                 Ok(DatabaseConnection::Remote(call))
             }
-            Access::Own => {
+            ConnectionPath::Own => {
                 let checkout = self.databases.checkout(target, values, claim);
                 Ok(DatabaseConnection::Own(
                     checkout.await.map_err(|refusal| refusal.kind)?,
@@ -82,34 +83,35 @@
         }
     }
 
-    /// How this node reaches a database for what `claim` tells. Where no home may see it, it uses a
-    /// connection of its own; a database that is cold is reached only by way of those that send to it
-    /// then.
-    fn access_to(&self, database: &DatabaseName, claim: &Claim) -> Access {
+    /// The path by which this node reaches a database for `claim`. If no home is usable in the claim's
+    /// regions, this node uses a connection of its own. Statements reach a cold database only through the
+    /// nodes that send to it while it is cold.
+    fn path_to(&self, database: &DatabaseName, claim: &Claim) -> ConnectionPath {
         let Some(placement) = self.fleet.placement_of(database) else {
-            return Access::Own;
+            return ConnectionPath::Own;
         };
         if claim.work != Work::Control && self.databases.pacer(database).is_cold() {
             return match placement.may_send_cold {
-                true => Access::Own,
-                false => Access::ViaHomes(placement.ordered_cold_senders(&claim.regions)),
+                true => ConnectionPath::Own,
+                false => ConnectionPath::ViaHomes(placement.ordered_cold_senders(&claim.regions)),
             };
         }
         if placement.is_home {
-            return Access::Own;
+            return ConnectionPath::Own;
         }
-        let homes = placement.ordered(claim.user.as_ref(), &claim.regions);
+        let homes = placement.ordered_homes(claim.user.as_ref(), &claim.regions);
         let usable = |home: &SocketAddr| !self.fleet.homes.passed_over.contains(home);
         match homes.iter().any(usable) {
-            true => Access::ViaHomes(homes),
-            false => Access::Own,
+            true => ConnectionPath::ViaHomes(homes),
+            false => ConnectionPath::Own,
         }
     }
 
-    /// Runs a batch at `target` and reads the answers; probes it if it stays silent.
+    /// Runs a batch at `target` and reads the answers. Over a connection of this node's own pool, it probes
+    /// the database if it is a primary that doesn't answer soon.
     ///
     /// # Errors
-    /// There are no answers; tells whether anything may have run.
+    /// There are no answers; tells whether any step may have run.
     pub async fn exchange(
         &self,
         connection: &mut DatabaseConnection,
@@ -122,13 +124,14 @@
         let is_own = matches!(connection, DatabaseConnection::Own(_));
         let run = connection.run(batch, permission);
         tokio::pin!(run);
-        // The wait for a cold database's turn isn't silence of the database: taken for that, it would be
-        // probed by many nodes, whose connections load it further.
-        let silence = match target.state.pool.is_cold() {
-            true => SILENCE + LONGEST_TURN,
-            false => SILENCE,
+        // A batch for a cold database waits for its turn first, which doesn't mean that the database fails
+        // to answer. Without this allowance many nodes would probe it, and their connections would load
+        // it further.
+        let probe_after = match target.state.pool.is_cold() {
+            true => PROBE_AFTER + LONGEST_TURN,
+            false => PROBE_AFTER,
         };
-        let result = match tokio::time::timeout(silence, &mut run).await {
+        let result = match tokio::time::timeout(probe_after, &mut run).await {
             Ok(result) => result,
             Err(_) => {
                 if is_own {
--- a/crates/dyketally-gateway/src/fleet/connection.rs
+++ b/crates/dyketally-gateway/src/fleet/connection.rs
@@ -1,5 +1,5 @@
-//! A connection to a database for one exchange or one transaction: of this node's own pool, or kept
-//! by a home.
+//! A connection to a database for one exchange or one transaction, either from this node's own pool or from
+//! that of a home.
 
 use std::time::Duration;
 
@@ -13,20 +13,19 @@
 use crate::fleet::link::{CallError, HomeCall};
 use crate::ports::OwnStatement;
 
-/// Longest time that rolling back a transaction may take before its connection is closed instead. Not
-/// measured.
+/// Longest time that rolling back a transaction may take before its connection is closed instead.
 const ROLLBACK_LIMIT: Duration = Duration::from_secs(2);
 
 /// A connection in use. Dropping it closes the connection; [`DatabaseConnection::give_back`] keeps it.
 pub enum DatabaseConnection {
-    /// Of this node's own pool.
+    /// A connection from this node's own pool.
     Own(pool::Checkout),
-    /// At a home, which hands it out with the first batch.
+    /// A connection of a home, which checks it out of its pool when the first batch arrives.
     Remote(HomeCall),
 }
 
 impl DatabaseConnection {
-    /// Returns the connection for others to use. It must be outside any transaction.
+    /// Returns the connection to its pool. No transaction may be open on it.
     pub fn give_back(self) {
         match self {
             Self::Own(checkout) => checkout.give_back(),
@@ -34,7 +33,8 @@
         }
     }
 
-    /// Drops the transaction that is open on the connection, in the background, and returns it.
+    /// Rolls back the open transaction in the background and returns the connection to its pool, or closes
+    /// the connection if that fails.
     pub fn roll_back(self, reset: Reset) {
         let mut checkout = self;
         tokio::task::spawn_local(async move {
@@ -52,7 +52,8 @@
         });
     }
 
-    /// Waits for its turn to run a batch that goes on with a transaction. A home waits by itself.
+    /// Waits until the database's slow start allows the next batch of an open transaction. For a connection
+    /// of a home it returns at once, since the home waits itself.
     pub async fn wait_for_turn(&mut self, batch: &Batch) {
         match self {
             Self::Own(checkout) => checkout.wait_for_turn(batch).await,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The database that it leads to.
+    /// The database that the connection is open to.
     fn database(&self) -> &DatabaseName {
         match self {
             Self::Own(checkout) => checkout.database(),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Runs a batch, for which `permission` was obtained.
+    /// Runs a batch; `permission` must be for this connection's database.
     pub(super) async fn run(
         &mut self,
         batch: &Batch,
--- a/crates/dyketally-gateway/src/fleet/coordinator.rs
+++ b/crates/dyketally-gateway/src/fleet/coordinator.rs
@@ -1,9 +1,9 @@
-//! Which node is the failover coordinator, the one that replaces primaries, as far as this node knows.
+//! This node's knowledge of which node is the failover coordinator, the node that replaces primaries.
 //!
-//! The coordinator holds a lease in the store; its key names it, and the revision at which the key was
-//! put is the fencing token of its term. `succession` campaigns for the lease and keeps it. Other parts
-//! read from here who the coordinator is, and report to it what needs its attention. Relies on
-//! the records of nodes.
+//! The coordinator holds a lease in the store. A key bound to the lease names the coordinator, and the
+//! revision at which the key was put is the fencing token of the coordinator's term. `succession`
+//! campaigns for the lease and renews it. Other parts look up the coordinator here and wake it when
+//! something needs its attention. Relies on the records of nodes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,61 +16,61 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::membership::{DEPARTED_REMEMBERED, NodeRecord};
+use super::membership::{DEPARTED_RETENTION, NodeRecord};
 
-/// The coordinator acts no longer this long before its lease can end. Not measured.
+/// The coordinator stops acting this long before the earliest time at which its lease can end.
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
-/// How long a node counts as coordinator that announced itself, until the store confirms it. Not
-/// measured.
-const ANNOUNCEMENT_HOLDS: Duration = Duration::from_secs(3);
+/// How long a node that announced itself is treated as the coordinator before the store confirms it.
+const ANNOUNCEMENT_VALIDITY: Duration = Duration::from_secs(3);
 
-/// The time during which this node is the coordinator.
+/// A period during which this node is the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Term {
-    /// The fencing token of appointments.
+    /// The fencing token that this node sends with appointments of primaries.
     pub token: u64,
 }
 
-/// A lease as its holder knows it.
+/// A lease in the store, as known to its holder.
 #[derive(Clone, Copy, Debug)]
 pub struct HeldLease {
     /// The lease.
     pub id: LeaseId,
-    /// Until when it surely runs.
+    /// The lease doesn't end before this time.
     pub until: Instant,
 }
 
 /// The coordinator's key in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinatorRecord {
-    /// The node.
+    /// The coordinator.
     pub node: NodeRecord,
     /// The lease that the key is bound to.
     pub lease: Option<LeaseId>,
 }
 
-/// Who the coordinator is, and this node's term while it is the one.
+/// Which node is the coordinator, and the term and lease of this node while it is the coordinator.
 #[derive(Default)]
 pub struct CoordinatorState {
     /// Notified when something needs the coordinator's attention.
     pub attention: Notify,
-    /// Notified when there seems to be no coordinator, or a former process of this node.
+    /// Notified when no coordinator is known, or when the store and this node disagree on whether this
+    /// node is the coordinator, for example because the key is from an earlier process of this node.
     pub vacant: Notify,
-    /// Primaries that some node suspects, and since when.
+    /// Primaries that some node suspects, each with the time since when.
     pub suspicions: RefCell<HashMap<(GroupName, DatabaseName), Instant>>,
     record: RefCell<Option<CoordinatorRecord>>,
-    /// Where the last coordinator listened whose key went, and since when it is gone.
+    /// Address of the last coordinator whose key was deleted, and the time of the deletion.
     former: Cell<Option<(SocketAddr, Instant)>>,
-    /// The node that announced itself, and when.
+    /// The node that last announced itself as coordinator, and the time of the announcement.
     announced: RefCell<Option<(NodeRecord, Instant)>>,
     lease: Cell<Option<HeldLease>>,
     term: Cell<Option<Term>>,
-    /// When this node's term began.
-    began: Cell<Option<Instant>>,
+    /// When this node's term began; `None` while it isn't the coordinator.
+    term_began: Cell<Option<Instant>>,
 }
 
 impl CoordinatorState {
-    /// The coordinator's key, as far as it is known.
+    /// The coordinator's key; `None` while it isn't known.
     pub fn record(&self) -> Option<CoordinatorRecord> {
         self.record.borrow().clone()
     }
@@ -80,7 +80,7 @@
         *self.record.borrow_mut() = Some(record);
     }
 
-    /// Records the coordinator's key as it stands in the store.
+    /// Records the coordinator's key as the store holds it; ignores an entry that isn't a node's record.
     pub fn learn(&self, entry: &Entry) {
         let Some(node) = NodeRecord::read(entry) else {
             return;
@@ -92,7 +92,7 @@
         });
     }
 
-    /// Forgets the coordinator's key before all keys are read anew.
+    /// Clears the record of the coordinator's key, before all keys are read again.
     pub fn forget_record(&self) {
         self.record.take();
     }
@@ -104,8 +104,8 @@
         self.former.set(former.or(self.former.get()));
     }
 
-    /// Wakes the task that campaigns if there is no coordinator by what is known, or if this node, which
-    /// keeps `own` in the store, is wrong about being the one.
+    /// Wakes the task that campaigns for the lease if no coordinator is known, or if the coordinator's
+    /// key and this node disagree on whether this node is the coordinator. `own` is this node's record.
     pub fn check_vacancy(&self, own: &NodeRecord) {
         let record = self.record.borrow();
         let node = record.as_ref().map(|record| &record.node);
@@ -115,38 +115,38 @@
         }
     }
 
-    /// Records that a node announced itself as coordinator. What the store holds goes first.
+    /// Records that a node announced itself as coordinator. A record from the store takes precedence.
     pub fn receive_announcement(&self, node: NodeRecord) {
         *self.announced.borrow_mut() = Some((node, Instant::now()));
     }
 
-    /// Where the node listens that announced itself as coordinator, if it did so lately.
+    /// The address of the node that announced itself as coordinator, while the announcement is valid.
     pub fn announced(&self) -> Option<SocketAddr> {
         let announced = self.announced.borrow();
         let (node, at) = announced.as_ref()?;
-        (at.elapsed() < ANNOUNCEMENT_HOLDS).then_some(node.address)
+        (at.elapsed() < ANNOUNCEMENT_VALIDITY).then_some(node.address)
     }
 
-    /// Where the node listened that was coordinator until its lease lapsed, if that was lately.
+    /// The address of the last coordinator whose key was deleted, if that node may still run.
     pub fn former(&self) -> Option<SocketAddr> {
         let (address, since) = self.former.get()?;
-        (since.elapsed() < DEPARTED_REMEMBERED).then_some(address)
+        (since.elapsed() < DEPARTED_RETENTION).then_some(address)
     }
 
-    /// Where the coordinator listens for other nodes.
+    /// The coordinator's address for messages of other nodes: from its key, else from its announcement.
     pub fn address(&self) -> Option<SocketAddr> {
         let record = self.record.borrow();
         let known = record.as_ref().map(|record| record.node.address);
         known.or_else(|| self.announced())
     }
 
-    /// This node's term if it was the coordinator last, even if its lease may have ended. No other node
-    /// can have become coordinator while none reaches the store.
+    /// This node's term until it resigns, even if its lease may have ended. No other node can have become
+    /// coordinator while no node reaches the store.
     pub fn last_term(&self) -> Option<Term> {
         self.term.get()
     }
 
-    /// This node's term, if it is the coordinator and its lease surely runs.
+    /// This node's term, if it is the coordinator and its lease lasts for at least `LEASE_MARGIN`.
     pub fn term(&self) -> Option<Term> {
         let lease = self.lease.get()?;
         let runs = Instant::now() + LEASE_MARGIN < lease.until;
@@ -158,30 +158,30 @@
         self.lease.get()
     }
 
-    /// Records until when the coordinator's lease runs, which this node holds.
+    /// Records that this node holds the coordinator's lease, and until when the lease lasts.
     pub fn set_lease(&self, lease: HeldLease) {
         self.lease.set(Some(lease));
     }
 
-    /// Records that this node is the coordinator, or has another token now.
+    /// Records that this node is the coordinator, or that its token has changed.
     pub fn set_term(&self, term: Term) {
         if self.term.replace(Some(term)).is_none() {
-            self.began.set(Some(Instant::now()));
+            self.term_began.set(Some(Instant::now()));
         }
     }
 
-    /// True while this node may grant contact to others: it alone is surely the coordinator, and has been
-    /// for long enough.
+    /// True while this node may grant contact to other nodes: its lease lasts, and its term began at least
+    /// [`GRANTS_SETTLE`] ago.
     pub fn may_grant(&self) -> bool {
-        let began = self.began.get();
+        let began = self.term_began.get();
         let is_settled = began.is_some_and(|at| at.elapsed() >= GRANTS_SETTLE);
         is_settled && self.term().is_some()
     }
 
-    /// Records that this node is no longer the coordinator; true if it was.
+    /// Records that this node is no longer the coordinator; returns true if it was.
     pub fn resign(&self) -> bool {
         self.lease.set(None);
-        self.began.set(None);
+        self.term_began.set(None);
         self.term.take().is_some()
     }
 }
--- a/crates/dyketally-gateway/src/fleet/forwarding.rs
+++ b/crates/dyketally-gateway/src/fleet/forwarding.rs
@@ -1,5 +1,5 @@
-//! Connections to a database by way of another node, for nodes that are cut off from it. A node that
-//! forwards a connection only moves bytes: the node that opened it speaks to the database itself.
+//! Connections to a database through another node, for nodes that can't reach the database directly. The
+//! forwarding node only copies bytes: the node that opened the connection speaks the database's protocol.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,15 +17,15 @@
 use crate::fleet::access::DatabaseAccess;
 use crate::fleet::opening::{self, Opening};
 
-/// How long other nodes may take to reply whether they reach a database: a probe of theirs takes up to
-/// 0.3 s. Not measured.
-const FORWARDER_SEARCH: Duration = Duration::from_millis(450);
+/// How long this node waits for replies of nodes that reach a database; their probe of the database takes up
+/// to 0.3 s.
+const FORWARDER_SEARCH_LIMIT: Duration = Duration::from_millis(450);
 
-/// Has other nodes forward connections.
-pub struct ThroughNodes;
+/// Opens connections to databases that another node forwards.
+pub struct NodeForwarding;
 
 #[async_trait(?Send)]
-impl Forwarding for ThroughNodes {
+impl Forwarding for NodeForwarding {
     async fn connect(
         &self,
         node: SocketAddr,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Moves bytes between a connection of another node and a database, until either closes.
+/// Copies bytes between a connection of another node and a database, until either closes.
 pub(super) async fn forward(
     access: &DatabaseAccess,
     mut stream: TcpStream,
@@ -55,7 +55,8 @@
 }
 
 impl DatabaseAccess {
-    /// Asks the other nodes who reaches `target`, and has the first that does forward connections to it.
+    /// Polls other nodes, in the background, on whether they reach `target`. The first that does and may
+    /// forward is used for this node's further connections to `target`.
     pub fn find_forwarder(self: &Rc<Self>, target: &Target) {
         let Some(peers) = self.fleet.peers.borrow().clone() else {
             return;
@@ -64,7 +65,7 @@
         let target = target.clone();
         tokio::task::spawn_local(async move {
             let mut poll = peers.poll(&target.group, &target.name);
-            let until = Instant::now() + FORWARDER_SEARCH;
+            let until = Instant::now() + FORWARDER_SEARCH_LIMIT;
             while let Ok(Some(vote)) =
                 tokio::time::timeout_at(until, poll.votes.receiver.recv()).await
             {
@@ -78,8 +79,9 @@
         });
     }
 
-    /// True when a connection to `target` may go by way of the node at `address`: where regions are
-    /// bound, only through the database's own region, which all that may run there may enter.
+    /// True when the node at `address` may forward connections to `target`. If the configuration binds
+    /// routes or tenants to regions, the node must be in the database's own region: statements that may run
+    /// there may also pass through there.
     fn may_forward(&self, address: SocketAddr, target: &Target) -> bool {
         if !self.fleet.cx.routes().binds_regions() {
             return true;
--- a/crates/dyketally-gateway/src/fleet/home.rs
+++ b/crates/dyketally-gateway/src/fleet/home.rs
@@ -1,4 +1,4 @@
-//! The home's side of calls: runs the batches of other nodes on this node's connections.
+//! The home's side of calls: runs the batches of other nodes on connections of this node's pool.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -21,18 +21,17 @@
 use crate::fleet::connection::DatabaseConnection;
 use crate::fleet::link::{Call, CallReply, Frames, frames};
 
-/// How long a call goes on whose link was closed, so that its connection can be kept. Not
-/// measured.
+/// How long a call may continue after its link was closed, so that its connection can be reused.
 const ABANDONED_LIMIT: Duration = Duration::from_millis(400);
 
-/// A connection that is kept for a link while a transaction is open on it. Dropping it drops the
+/// A connection that is pinned to a link while a transaction is open on it. Dropping it rolls back the
 /// transaction.
-struct Bound {
+struct PinnedConnection {
     checkout: Option<DatabaseConnection>,
     target: Target,
 }
 
-impl Drop for Bound {
+impl Drop for PinnedConnection {
     fn drop(&mut self) {
         if let Some(checkout) = self.checkout.take() {
             checkout.roll_back(Reset::Always);
@@ -40,41 +39,41 @@
     }
 }
 
-/// Counts a call as running, or a transaction as open, until it is dropped.
-struct Busy(Rc<Fleet>);
+/// Counts a running call or an open transaction in [`Fleet::calls`] until it is dropped.
+struct CountedCall(Rc<Fleet>);
 
-impl Busy {
+impl CountedCall {
     fn begin(fleet: &Rc<Fleet>) -> Self {
         fleet.calls.set(fleet.calls.get() + 1);
         Self(fleet.clone())
     }
 }
 
-impl Drop for Busy {
+impl Drop for CountedCall {
     fn drop(&mut self) {
         let calls = &self.0.calls;
         calls.set(calls.get() - 1);
     }
 }
 
-/// Serves the calls of one link until it is closed.
+/// Serves the calls that arrive on one link until the link is closed.
 pub async fn serve(access: Rc<DatabaseAccess>, stream: TcpStream) {
     let Ok(caller) = stream.peer_addr() else {
         return;
     };
     let mut frames = frames(stream);
-    let mut bound = None;
+    let mut pinned = None;
     while let Some(Ok(message)) = frames.next().await {
         let Ok(call) = postcard::from_bytes::<Call<'_>>(&message) else {
-            // Closing the link tells the caller that nothing can be said of its call.
+            // Closing the link without a reply leaves the caller to assume that its call may have run.
             return;
         };
-        let _busy = Busy::begin(&access.fleet);
-        let running = run(&access, bound.take(), call);
-        let Some((reply, kept)) = unless_abandoned(running, &mut frames).await else {
+        let _counted = CountedCall::begin(&access.fleet);
+        let running = run(&access, pinned.take(), call);
+        let Some((reply, kept)) = finish_unless_link_closes(running, &mut frames).await else {
             return;
         };
-        bound = kept.map(|kept| (kept, Busy::begin(&access.fleet)));
+        pinned = kept.map(|kept| (kept, CountedCall::begin(&access.fleet)));
         let Ok(message) = postcard::to_stdvec(&reply) else {
             return;
         };
@@ -85,39 +84,43 @@
     }
 }
 
-/// Waits for a call; once its link is closed, only for a while.
-async fn unless_abandoned<T>(running: impl Future<Output = T>, frames: &mut Frames) -> Option<T> {
+/// Waits for a call to finish. Once its link is closed, waits for `ABANDONED_LIMIT` at most and returns
+/// `None`.
+async fn finish_unless_link_closes<T>(
+    running: impl Future<Output = T>,
+    frames: &mut Frames,
+) -> Option<T> {
     tokio::pin!(running);
     tokio::select! {
         biased;
         done = &mut running => return Some(done),
-        // Nobody may send before the answer: whatever comes, the link is of no more use.
+        // The caller sends nothing before the reply, so any frame or error means that the link is unusable.
         _ = frames.next() => {}
     }
-    // What is still open afterwards is rolled back as `Bound` is dropped.
+    // A transaction that is still open afterwards is rolled back when its `PinnedConnection` is dropped.
     let _ = tokio::time::timeout(ABANDONED_LIMIT, running).await;
     None
 }
 
 async fn run(
     access: &Rc<DatabaseAccess>,
-    bound: Option<(Bound, Busy)>,
+    pinned: Option<(PinnedConnection, CountedCall)>,
     call: Call<'_>,
-) -> (CallReply, Option<Bound>) {
-    let begins = bound.is_none();
-    let mut bound = match bound {
-        Some((bound, _)) => bound,
-        None => match bind(access, &call).await {
-            Ok(bound) => bound,
+) -> (CallReply, Option<PinnedConnection>) {
+    let is_first = pinned.is_none();
+    let mut pinned = match pinned {
+        Some((pinned, _)) => pinned,
+        None => match pin_connection(access, &call).await {
+            Ok(pinned) => pinned,
             Err(reply) => return (reply, None),
         },
     };
-    let Some(mut checkout) = bound.checkout.take() else {
+    let Some(mut checkout) = pinned.checkout.take() else {
         return (CallReply::Leaving, None);
     };
-    let target = bound.target.clone();
+    let target = pinned.target.clone();
     checkout.wait_for_turn(&call.batch).await;
-    let permission = match permission(access, &target, &call.batch, Begins(begins)) {
+    let permission = match permission(access, &target, &call.batch, IsFirst(is_first)) {
         Ok(permission) => permission,
         Err(denial) => return (denied(denial), None),
     };
@@ -131,8 +134,8 @@
                 checkout.give_back();
                 return (CallReply::Answers(answers), None);
             }
-            bound.checkout = Some(checkout);
-            (CallReply::Answers(answers), Some(bound))
+            pinned.checkout = Some(checkout);
+            (CallReply::Answers(answers), Some(pinned))
         }
         Err(ExchangeError::Lost(broken)) => (CallReply::Broken(broken.reason), None),
         Err(ExchangeError::NotRun(kind)) => {
@@ -142,21 +145,21 @@
     }
 }
 
-/// Whether a call begins something at its database.
-struct Begins(bool);
+/// True for the first batch on a connection, false for a further batch of an open transaction.
+struct IsFirst(bool);
 
-/// Leave to run a call's batch. Where callers may be served was judged by the node that calls.
+/// Obtains permission to run a call's batch at `target`. Serving regions are checked by the calling node.
 fn permission(
     access: &DatabaseAccess,
     target: &Target,
     batch: &Batch,
-    Begins(begins): Begins,
+    IsFirst(is_first): IsFirst,
 ) -> Result<Permission, Denial> {
     let needs_leader = batch.needs_leader();
     if !batch.takes_slot() && !needs_leader {
         return Ok(Permission::control(&target.name));
     }
-    let intent = match begins {
+    let intent = match is_first {
         true => Intent::first(&ServingRegions::anywhere(), needs_leader),
         false => Intent::further(needs_leader),
     };
@@ -167,7 +170,11 @@
     CallReply::Refused(Refusal::denied(denial))
 }
 
-async fn bind(access: &Rc<DatabaseAccess>, call: &Call<'_>) -> Result<Bound, CallReply> {
+/// Checks a connection out of this node's pool for the first batch on a link.
+async fn pin_connection(
+    access: &Rc<DatabaseAccess>,
+    call: &Call<'_>,
+) -> Result<PinnedConnection, CallReply> {
     if access.fleet.cx.stop.is_stopping() {
         return Err(CallReply::Leaving);
     }
@@ -177,15 +184,15 @@
             unreachable: true,
         }));
     };
-    // It may have to wait for a connection, so it is asked again before it is sent.
-    let permitted = permission(access, &target, &call.batch, Begins(true));
+    // Refuses early. Permission is obtained again before sending, since the call may wait for a connection.
+    let permitted = permission(access, &target, &call.batch, IsFirst(true));
     drop(permitted.map_err(denied)?);
     let none = BTreeMap::new();
     let context = call.batch.context.as_ref();
     let values = context.map_or(&none, |context| &context.values);
     let claim = Claim {
         priority: call.priority,
-        until: Instant::now() + Duration::from_millis(call.patience_ms.into()),
+        until: Instant::now() + Duration::from_millis(call.wait_limit_ms.into()),
         patience: Patience {
             burst: Duration::from_millis(call.burst_ms.into()),
             standing: Duration::from_millis(call.standing_ms.into()),
@@ -196,7 +203,7 @@
     };
     let checkout = access.databases.checkout(&target, values, claim);
     match checkout.await {
-        Ok(checkout) => Ok(Bound {
+        Ok(checkout) => Ok(PinnedConnection {
             checkout: Some(DatabaseConnection::Own(checkout)),
             target,
         }),
--- a/crates/dyketally-gateway/src/fleet/homes.rs
+++ b/crates/dyketally-gateway/src/fleet/homes.rs
@@ -1,5 +1,5 @@
-//! Which nodes keep connections to a database: all of them while there are connections enough, a
-//! few homes otherwise.
+//! Computes which nodes are homes of a database, that is, keep connections to it: all nodes if the
+//! database's connection limit is high enough for that, a few otherwise.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -16,29 +16,28 @@
 use crate::fleet::passed_over::PassedOver;
 use crate::ports::DatabaseUser;
 
-/// Connections to a database that the nodes may have together where the configuration sets no limit. Not
-/// measured.
-const GRANTED_ASSUMED: u32 = 16;
-/// Further nodes that are asked when no home can be. Not measured.
-const STAND_INS: usize = 1;
+/// Connections to a database that all nodes together may open if the configuration sets no limit.
+const DEFAULT_CONNECTION_LIMIT: u32 = 16;
+/// Number of nodes besides the homes that this node calls when no home can be reached.
+const STAND_IN_COUNT: usize = 1;
 
-/// One database as this node reaches it, by the nodes that are known.
+/// The nodes through which this node reaches one database, computed from the nodes that are known.
 #[derive(Clone, Debug)]
 pub(super) struct Placement {
     pub(super) is_home: bool,
     sharing: Sharing,
-    /// Other nodes than this one that are homes, in the order in which it asks them.
+    /// Homes other than this node, in the order in which this node calls them. Empty if every node is one.
     homes: Vec<HomeNode>,
-    /// Nodes that stand in when no home can be reached.
+    /// Nodes that this node calls when no home can be reached.
     stand_ins: Vec<HomeNode>,
-    /// Other nodes than this one that send to the database while it is cold, in the order in which it
-    /// asks them.
+    /// Nodes other than this one that send to the database while it is cold, in the order in which this
+    /// node calls them.
     cold_senders: Vec<HomeNode>,
-    /// True when this node is one of those.
+    /// True when this node sends to the database itself while the database is cold.
     pub(super) may_send_cold: bool,
 }
 
-/// A node that keeps connections to a database.
+/// A node that this node may call for a database.
 #[derive(Clone, Debug)]
 struct HomeNode {
     name: NodeName,
@@ -51,17 +50,17 @@
         self.homes.iter().chain(&self.stand_ins)
     }
 
-    /// Nodes that send to the database while it is cold and that statements which `regions` bind may
-    /// pass through.
+    /// Nodes that send to the database while it is cold and that statements restricted to `regions` may
+    /// pass through, in the order of preference.
     pub(super) fn ordered_cold_senders(&self, regions: &ServingRegions) -> Rc<[SocketAddr]> {
         let senders = self.cold_senders.iter();
         let permitted = senders.filter(|node| may_pass(regions, &node.region));
         permitted.map(|node| node.address).collect()
     }
 
-    /// Homes and stand-ins that statements which `regions` bind may pass through, in the order in
-    /// which they are asked for connections of `user`.
-    pub(super) fn ordered(
+    /// Homes and stand-ins that statements restricted to `regions` may pass through, in the order in which
+    /// this node calls them for connections of `user`.
+    pub(super) fn ordered_homes(
         &self,
         user: Option<&DatabaseUser>,
         regions: &ServingRegions,
@@ -86,18 +85,19 @@
     }
 }
 
-/// What was worked out from the nodes that are known, until these change.
+/// Cached placements of databases, and the state of homes that failed.
 #[derive(Default)]
 pub struct Homes {
+    /// Placements computed from the known nodes and limits, until these change.
     placements: RefCell<HashMap<DatabaseName, Rc<Placement>>>,
-    /// Homes that failed or leave.
+    /// Homes that are excluded for a while, since they failed or are stopping.
     pub passed_over: PassedOver,
-    /// Homes that are being looked for.
-    pub(super) looked_for: RefCell<HashSet<SocketAddr>>,
+    /// Homes that are being probed because they didn't reply to a call.
+    pub(super) being_probed: RefCell<HashSet<SocketAddr>>,
 }
 
 impl Homes {
-    /// Forgets what was worked out: nodes or limits changed.
+    /// Clears the cached placements after nodes or limits changed.
     pub fn forget(&self) {
         self.placements.borrow_mut().clear();
     }
@@ -118,9 +118,9 @@
             .is_some_and(|placement| placement.is_home)
     }
 
-    /// Nodes that share a database's slots: its homes. Where every node keeps connections of its own
-    /// they don't, since most are far away and need more in flight to keep a slot busy; what the
-    /// database turns away limits each of them.
+    /// Number of nodes that share a database's slots: the number of its homes. If every node is a home, the
+    /// slots aren't divided (1): most nodes are far from the database and need more requests in flight to
+    /// keep a slot busy, and the database's refusals limit each node.
     fn sharers(&self, database: &DatabaseName) -> usize {
         match self
             .placement_of(database)
@@ -142,7 +142,8 @@
 }
 
 impl Fleet {
-    /// The other homes of a database and their stand-ins; none where all nodes are homes.
+    /// Addresses of the homes and stand-ins of a database other than this node; empty if every node is a
+    /// home.
     pub fn homes_of(&self, database: &DatabaseName) -> Vec<SocketAddr> {
         let Some(placement) = self.placement_of(database) else {
             return Vec::new();
@@ -154,13 +155,13 @@
         if let Some(placement) = self.homes.placements.borrow().get(database) {
             return Some(placement.clone());
         }
-        let placement = Rc::new(self.place(database)?);
+        let placement = Rc::new(self.compute_placement(database)?);
         let mut known = self.homes.placements.borrow_mut();
         known.insert(database.clone(), placement.clone());
         Some(placement)
     }
 
-    fn place(&self, database: &DatabaseName) -> Option<Placement> {
+    fn compute_placement(&self, database: &DatabaseName) -> Option<Placement> {
         let (group, zone) = {
             let directory = self.directory.borrow();
             let announcement = &directory.member(database)?.announcement;
@@ -168,9 +169,9 @@
         };
         let routes = self.cx.routes();
         let limits = routes.groups.get(&group);
-        let granted = limits.map_or(GRANTED_ASSUMED, |limits| limits.connection_limit);
+        let total_limit = limits.map_or(DEFAULT_CONNECTION_LIMIT, |limits| limits.connection_limit);
         let nodes = self.membership.node_count();
-        let sharing = Sharing::of(granted, nodes);
+        let sharing = Sharing::of(total_limit, nodes);
         let everyone = matches!(sharing, Sharing::Everyone(_));
         let count = sharing.homes(nodes);
         let sender_count = cold_senders(&self.cx, &group);
@@ -180,7 +181,7 @@
         let candidates = nodes.values().map(|node| node.candidate());
         let wanted = match everyone {
             true => sender_count,
-            false => sender_count.max(count + STAND_INS),
+            false => sender_count.max(count + STAND_IN_COUNT),
         };
         let ranked = placement::rank(database, &locality, candidates, wanted);
         let cold_senders = &ranked[..sender_count.min(ranked.len())];
@@ -190,7 +191,7 @@
         };
         let stand_ins: Vec<&NodeName> = match everyone {
             true => Vec::new(),
-            false => others.iter().take(STAND_INS).copied().collect(),
+            false => others.iter().take(STAND_IN_COUNT).copied().collect(),
         };
         let is_home = everyone || homes.contains(&own);
         let ordered = placement::preference(own, homes);
--- a/crates/dyketally-gateway/src/fleet/link/call.rs
+++ b/crates/dyketally-gateway/src/fleet/link/call.rs
@@ -1,5 +1,5 @@
 //! The messages of a link to a home. They are encoded in postcard, which depends on the order of variants
-//! and fields: nodes of different builds talk to each other.
+//! and fields: keep both, since nodes of different builds exchange these messages.
 
 use std::borrow::Cow;
 
@@ -11,48 +11,48 @@
 use crate::database::connection::{Answer, Broken};
 use crate::ports::DatabaseUser;
 
-/// A batch for a database.
+/// A request to a home to run a batch at a database.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call<'a> {
     /// The database.
     pub database: DatabaseName,
-    /// Rank under scarcity; 0 goes first.
+    /// Priority in queues when connections or slots are scarce; 0 goes first.
     pub priority: u32,
     /// How long the call may take to reach the database, in milliseconds.
-    pub patience_ms: u32,
-    /// How long the call may wait behind others while their queue evens out a burst, in
-    /// milliseconds.
+    pub wait_limit_ms: u32,
+    /// Queue timeout in milliseconds while the queue for a connection absorbs a burst.
     pub burst_ms: u32,
-    /// The same while their queue stands.
+    /// Queue timeout in milliseconds while the queue for a connection is a standing queue, one that doesn't
+    /// drain.
     pub standing_ms: u32,
-    /// What the connection is wanted for.
+    /// The kind of use that the connection is wanted for.
     pub work: Work,
-    /// In whose name the connection must be open; `None` where any will do.
+    /// The user as which the connection must be open; `None` if any user will do.
     pub user: Option<DatabaseUser>,
-    /// What to run; only the receiver has one of its own.
+    /// The batch to run: borrowed by the sender, owned by the receiver.
     pub batch: Cow<'a, Batch>,
 }
 
-/// What became of a call.
+/// The home's reply to a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CallReply {
-    /// The answers.
+    /// The answers to the steps that were run.
     Answers(Vec<Answer>),
-    /// No step was run.
+    /// No step was run, for the reason given.
     Refused(Refusal),
-    /// No step was run, since the home is about to stop: ask another.
+    /// No step was run, since the home is about to stop. The caller may call another home.
     Leaving,
-    /// The connection to the database broke; any step may have run.
+    /// The home's connection to the database broke, for the reason given; any step may have run.
     Broken(String),
 }
 
 /// Why a call has no answers.
 #[derive(Clone, Debug)]
 pub enum CallError {
-    /// No step was run.
+    /// No step was run, for the reason given.
     NotRun(Refusal),
     /// The connection to the database broke; any step may have run.
     DatabaseBroke(Broken),
-    /// The home didn't answer; any step may have run.
+    /// The home didn't reply, or stops while a transaction is open; any step may have run.
     HomeLost(Broken),
 }
--- a/crates/dyketally-gateway/src/fleet/link/home_call.rs
+++ b/crates/dyketally-gateway/src/fleet/link/home_call.rs
@@ -1,4 +1,4 @@
-//! The caller's side of calls: runs batches at a home of the database.
+//! The caller's side of calls: has a home of the database run batches.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -18,25 +18,25 @@
 use crate::fleet::access::DatabaseAccess;
 use crate::measures::Stage;
 
-/// Silence of a home that is called from which on it is looked for. Not measured.
-const SILENCE: Duration = Duration::from_millis(200);
+/// Time without a reply to a call after which the home is probed.
+const PROBE_AFTER: Duration = Duration::from_millis(200);
 
-/// A connection to a database at one of its homes. Dropping it closes the link, and the home drops
-/// the transaction; [`HomeCall::give_back`] keeps the link.
+/// A connection to a database through one of its homes. Dropping it closes the link, whereupon the home
+/// rolls back the transaction; [`HomeCall::give_back`] keeps the link.
 pub struct HomeCall {
     access: Rc<DatabaseAccess>,
     database: DatabaseName,
     homes: Rc<[SocketAddr]>,
     claim: Claim,
     link: Option<(SocketAddr, Link)>,
-    /// True while the home keeps a connection for this call.
-    bound: bool,
-    /// Nodes whose part of a cold database's rate is used up, and what they said.
-    used_up: Vec<(SocketAddr, Refusal)>,
+    /// True while the home has pinned a connection to the link, as a transaction is open on it.
+    pinned: bool,
+    /// Homes that refused this call since their share of a cold database's rate is used up.
+    rate_used_up: Vec<(SocketAddr, Refusal)>,
 }
 
 impl HomeCall {
-    /// A call that hasn't begun.
+    /// Creates a connection that calls the first reachable node of `homes` when its first batch runs.
     pub fn new(
         access: Rc<DatabaseAccess>,
         database: DatabaseName,
@@ -49,26 +49,26 @@
             homes,
             claim,
             link: None,
-            bound: false,
-            used_up: Vec::new(),
+            pinned: false,
+            rate_used_up: Vec::new(),
         }
     }
 
-    /// The database that is called.
+    /// The database that the connection is for.
     pub fn database(&self) -> &DatabaseName {
         &self.database
     }
 
-    /// Keeps the link for other calls. No transaction may be open.
+    /// Returns the link for use by other calls. No transaction may be open.
     pub fn give_back(mut self) {
-        self.link_is_free();
+        self.return_link();
     }
 
-    /// Runs a batch, for which `permission` was obtained; the home makes sure of its own. While a
+    /// Runs a batch; `permission` must be for this database, and the home obtains its own besides. While a
     /// transaction is open, all batches run on the same connection.
     ///
     /// # Errors
-    /// There are no answers; tells whether anything may have run.
+    /// There are no answers; tells whether any step may have run.
     pub async fn run(
         &mut self,
         batch: &Batch,
@@ -78,12 +78,12 @@
         loop {
             let (home, mut link) = match self.link.take() {
                 Some(link) => link,
-                None => self.reach_home().await?,
+                None => self.link_to_home().await?,
             };
             let call = self.call(batch);
             let began = Instant::now();
             let reply = self
-                .call_watched(home, link.call(&self.access.fleet, &call))
+                .reply_or_probe(home, link.call(&self.access.fleet, &call))
                 .await;
             self.access
                 .fleet
@@ -91,28 +91,28 @@
                 .measures
                 .spent(Stage::Link, began.elapsed());
             let reply = reply.map_err(|broken| {
-                self.pass_over(home);
+                self.exclude(home);
                 CallError::HomeLost(broken)
             })?;
             self.link = Some((home, link));
             match reply {
                 CallReply::Answers(answers) => {
                     self.access.databases.pacer(&self.database).ran();
-                    self.bound = !leave_idle(&answers);
+                    self.pinned = !leave_idle(&answers);
                     return Ok(answers);
                 }
-                CallReply::Leaving if !self.bound => {
+                CallReply::Leaving if !self.pinned => {
                     self.link = None;
-                    self.pass_over(home);
+                    self.exclude(home);
                 }
                 CallReply::Leaving => {
-                    return Err(CallError::HomeLost(Broken::new("the home stops")));
+                    return Err(CallError::HomeLost(Broken::new("the home is stopping")));
                 }
                 CallReply::Refused(refusal)
-                    if refusal.kind == FailureKind::DatabaseCold && !self.bound =>
+                    if refusal.kind == FailureKind::DatabaseCold && !self.pinned =>
                 {
-                    self.link_is_free();
-                    self.used_up.push((home, refusal));
+                    self.return_link();
+                    self.rate_used_up.push((home, refusal));
                 }
                 CallReply::Refused(refusal) => return Err(CallError::NotRun(refusal)),
                 CallReply::Broken(reason) => {
@@ -122,13 +122,13 @@
         }
     }
 
-    /// The message that asks for `batch`.
+    /// The message that requests `batch` from a home.
     fn call<'a>(&self, batch: &'a Batch) -> Call<'a> {
-        let left = self.claim.until.saturating_duration_since(Instant::now());
+        let time_left = self.claim.until.saturating_duration_since(Instant::now());
         Call {
             database: self.database.clone(),
             priority: self.claim.priority,
-            patience_ms: milliseconds(left),
+            wait_limit_ms: milliseconds(time_left),
             burst_ms: milliseconds(self.claim.patience.burst),
             standing_ms: milliseconds(self.claim.patience.standing),
             work: self.claim.work,
@@ -137,31 +137,32 @@
         }
     }
 
-    /// Waits for the reply of `home`, and has it looked for when it stays silent.
-    async fn call_watched<T>(&self, home: SocketAddr, call: impl Future<Output = T>) -> T {
+    /// Waits for the reply of `home`, and probes the home if there is none within `PROBE_AFTER`.
+    async fn reply_or_probe<T>(&self, home: SocketAddr, call: impl Future<Output = T>) -> T {
         tokio::pin!(call);
-        match tokio::time::timeout(SILENCE, &mut call).await {
+        match tokio::time::timeout(PROBE_AFTER, &mut call).await {
             Ok(reply) => reply,
             Err(_) => {
-                self.access.look_for_home(home, &self.database);
+                self.access.probe_home(home, &self.database);
                 call.await
             }
         }
     }
 
-    fn link_is_free(&mut self) {
+    fn return_link(&mut self) {
         if let Some((home, link)) = self.link.take() {
             self.access.fleet.links.give_back(home, link);
         }
     }
 
-    fn pass_over(&self, home: SocketAddr) {
+    /// Excludes a home for a while and closes its idle links.
+    fn exclude(&self, home: SocketAddr) {
         self.access.fleet.homes.passed_over.add(home);
         self.access.fleet.links.close(home);
     }
 
-    /// A link to the first home that can be reached.
-    async fn reach_home(&mut self) -> Result<(SocketAddr, Link), CallError> {
+    /// A link to the first home that can be reached and may still have a share of a cold database's rate.
+    async fn link_to_home(&mut self) -> Result<(SocketAddr, Link), CallError> {
         let homes = self.homes.clone();
         for home in homes.iter() {
             if self.access.fleet.homes.passed_over.contains(home)
@@ -169,16 +170,16 @@
             {
                 continue;
             }
-            if self.used_up.iter().any(|(asked, _)| asked == home) {
+            if self.rate_used_up.iter().any(|(node, _)| node == home) {
                 continue;
             }
             match self.access.fleet.links.take(*home).await {
                 Ok(link) => return Ok((*home, link)),
-                // A home that can't be reached has run nothing, and is left alone for a while.
-                Err(_) => self.pass_over(*home),
+                // A home that can't be reached has run nothing, so the next one may be called.
+                Err(_) => self.exclude(*home),
             }
         }
-        let refusal = self.used_up.last().map(|(_, refusal)| *refusal);
+        let refusal = self.rate_used_up.last().map(|(_, refusal)| *refusal);
         Err(CallError::NotRun(refusal.unwrap_or(Refusal {
             kind: FailureKind::Busy,
             unreachable: false,
--- a/crates/dyketally-gateway/src/fleet/link/links.rs
+++ b/crates/dyketally-gateway/src/fleet/link/links.rs
@@ -1,5 +1,5 @@
-//! Links to homes: connections between nodes, divided into messages, and kept for a while when they aren't
-//! used.
+//! Links to homes: TCP connections between nodes that carry length-prefixed messages, with a pool of idle
+//! links.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,35 +20,34 @@
 
 /// Longest message between nodes, in bytes: four times the longest value of a store.
 const LONGEST_MESSAGE: usize = 4 << 20;
-/// Longest time that connecting to a home may take: regions lie 20 ms apart, and a SYN that got lost
-/// isn't waited for. Not measured.
+/// Longest time that connecting to a home may take: regions are 20 ms apart, and the retransmission of a
+/// lost SYN isn't waited for.
 const CONNECT_LIMIT: Duration = Duration::from_millis(250);
-/// How long a link that isn't used is kept. A link that rested may lead to a machine that is gone. Not
-/// measured.
-const REST_LIMIT: Duration = Duration::from_secs(3);
-/// Links to one home that are kept while they aren't used. Not measured.
-const RESTING_AT_MOST: usize = 4;
+/// How long an idle link is kept. The machine at the other end of an idle link may be gone.
+const IDLE_LIMIT: Duration = Duration::from_secs(3);
+/// Maximum number of idle links that are kept for each home.
+const MAX_IDLE_LINKS: usize = 4;
 
-/// Messages between two nodes.
+/// A connection between two nodes that is divided into messages.
 pub type Frames = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Divides a connection between nodes into messages.
+/// Divides a connection between nodes into messages, each with its length in front.
 pub fn frames(stream: TcpStream) -> Frames {
     let mut codec = LengthDelimitedCodec::new();
     codec.set_max_frame_length(LONGEST_MESSAGE);
     Framed::new(stream, codec)
 }
 
-/// Links that rest, by home.
+/// The idle links, by home.
 #[derive(Default)]
 pub struct Links {
-    resting: RefCell<HashMap<SocketAddr, Vec<Link>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<Link>>>,
 }
 
 pub(super) struct Link {
     home: SocketAddr,
     frames: Frames,
-    rests_since: Instant,
+    idle_since: Instant,
 }
 
 impl Link {
@@ -58,11 +57,11 @@
         Ok(Self {
             home,
             frames: frames(stream),
-            rests_since: Instant::now(),
+            idle_since: Instant::now(),
         })
     }
 
-    /// True when the home closed the link while it rested.
+    /// True when the home closed the idle link or sent something unrequested on it.
     fn is_stale(&self) -> bool {
         !is_quiet(self.frames.get_ref())
     }
@@ -81,46 +80,46 @@
         match self.frames.next().await {
             Some(Ok(reply)) => postcard::from_bytes(&reply).map_err(Broken::new),
             Some(Err(error)) => Err(Broken::new(error)),
-            None => Err(Broken::new("closed by the home")),
+            None => Err(Broken::new("the home closed the link without a reply")),
         }
     }
 }
 
 impl Links {
-    /// A link to `home`, one that rests or a new one.
+    /// A link to `home`: an idle one that is usable, else a new one.
     pub(super) async fn take(&self, home: SocketAddr) -> io::Result<Link> {
-        while let Some(link) = self.take_resting(home) {
-            if link.rests_since.elapsed() < REST_LIMIT && !link.is_stale() {
+        while let Some(link) = self.take_idle(home) {
+            if link.idle_since.elapsed() < IDLE_LIMIT && !link.is_stale() {
                 return Ok(link);
             }
         }
         Link::open(home).await
     }
 
-    fn take_resting(&self, home: SocketAddr) -> Option<Link> {
-        self.resting.borrow_mut().get_mut(&home)?.pop()
+    fn take_idle(&self, home: SocketAddr) -> Option<Link> {
+        self.idle.borrow_mut().get_mut(&home)?.pop()
     }
 
     pub(super) fn give_back(&self, home: SocketAddr, mut link: Link) {
-        link.rests_since = Instant::now();
-        let mut resting = self.resting.borrow_mut();
-        let links = resting.entry(home).or_default();
-        if links.len() < RESTING_AT_MOST {
+        link.idle_since = Instant::now();
+        let mut idle = self.idle.borrow_mut();
+        let links = idle.entry(home).or_default();
+        if links.len() < MAX_IDLE_LINKS {
             links.push(link);
         }
     }
 
-    /// Closes the links that have rested for long.
-    pub fn tidy(&self) {
-        let mut resting = self.resting.borrow_mut();
-        resting.retain(|_, links| {
-            links.retain(|link| link.rests_since.elapsed() < REST_LIMIT);
+    /// Closes the links that have been idle for longer than `IDLE_LIMIT`.
+    pub fn close_expired(&self) {
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|_, links| {
+            links.retain(|link| link.idle_since.elapsed() < IDLE_LIMIT);
             !links.is_empty()
         });
     }
 
-    /// Closes the resting links to `home`.
+    /// Closes the idle links to `home`.
     pub fn close(&self, home: SocketAddr) {
-        self.resting.borrow_mut().remove(&home);
+        self.idle.borrow_mut().remove(&home);
     }
 }
--- a/crates/dyketally-gateway/src/fleet/link/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/link/mod.rs
@@ -1,5 +1,5 @@
-//! Calls to the homes of databases: a home runs batches on connections that it keeps, and binds one
-//! to the caller's link for as long as a transaction is open on it.
+//! Calls to the homes of databases. A home runs the batches of other nodes on connections of its pool. While
+//! a transaction is open on a connection, the home pins the connection to the caller's link.
 
 mod call;
 mod home_call;
--- a/crates/dyketally-gateway/src/fleet/listener.rs
+++ b/crates/dyketally-gateway/src/fleet/listener.rs
@@ -1,4 +1,4 @@
-//! Serves the connections that other nodes open to this one, each for the purpose that it opens with.
+//! Accepts the TCP connections that other nodes open to this node, and serves each as its opening requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,30 +13,31 @@
 use crate::fleet::opening::{self, Opening};
 use crate::fleet::{forwarding, home};
 
-/// Pause before a connection is accepted after a failure; not measured.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Connections that a node forwards at one time. Not measured.
-const FORWARDED_AT_MOST: usize = 64;
+/// Pause before the next accept after an accept failed.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of connections that this node forwards at the same time.
+const MAX_FORWARDED: usize = 64;
 
-/// Serves the connection of a node that subscribes to this node's copy of the store.
+/// Serves a connection by which another node subscribes to this node's copy of the store.
 pub type ServeFeed = Rc<dyn Fn(TcpStream) -> LocalBoxFuture<'static, ()>>;
 
-/// Serves connections of other nodes until the process ends.
+/// Accepts and serves connections of other nodes until the process ends.
 pub async fn serve(access: Rc<DatabaseAccess>, serve_feed: ServeFeed, listener: TcpListener) {
     let forwarded = Rc::new(());
     loop {
-        let stream = accept(&listener, ACCEPT_PAUSE).await;
+        let stream = accept(&listener, ACCEPT_RETRY_PAUSE).await;
         let access = access.clone();
         let serve_feed = serve_feed.clone();
         let forwarded = forwarded.clone();
         tokio::task::spawn_local(async move {
-            // The asking node sees a connection that ends, whatever the reason.
+            // The error needs no handling: the other node sees that the connection was closed.
             let _ = serve_one(access, serve_feed, stream, forwarded).await;
         });
     }
 }
 
-/// Serves one connection; `forwarded` is shared by all that are forwarded.
+/// Serves one connection. The reference count of `forwarded` bounds the connections that are forwarded:
+/// each holds a reference until it closes, and connections of other kinds drop theirs.
 async fn serve_one(
     access: Rc<DatabaseAccess>,
     serve_feed: ServeFeed,
@@ -45,7 +46,7 @@
 ) -> std::io::Result<()> {
     prepare_socket(&stream);
     match tokio::time::timeout(OPEN_LIMIT, opening::read(&mut stream)).await?? {
-        Opening::Forward { .. } if Rc::strong_count(&forwarded) > FORWARDED_AT_MOST => Ok(()),
+        Opening::Forward { .. } if Rc::strong_count(&forwarded) > MAX_FORWARDED => Ok(()),
         Opening::Forward { database } => forwarding::forward(&access, stream, &database).await,
         Opening::Calls => {
             drop(forwarded);
--- a/crates/dyketally-gateway/src/fleet/membership.rs
+++ b/crates/dyketally-gateway/src/fleet/membership.rs
@@ -1,4 +1,5 @@
-//! Which nodes run, by the records that they keep in the store.
+//! The nodes that run, according to the records that they keep in the store, and the nodes that may still
+//! run although the store no longer lists them.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::{BTreeMap, HashSet};
@@ -12,30 +13,31 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a node whose key is gone is taken for one that may still run, cut off from the store. Not
-/// measured; it is the lease of a node's key.
-pub(crate) const DEPARTED_REMEMBERED: Duration = Duration::from_secs(30);
-/// Relays named by seeds that are remembered. Not measured.
-const NAMED_RELAYS_AT_MOST: usize = 8;
+/// How long a node whose key is gone from the store counts as one that may still run, cut off from the
+/// store. As long as the lease of a node's key.
+pub(crate) const DEPARTED_RETENTION: Duration = Duration::from_secs(30);
+/// Maximum number of relays named by seeds that are kept.
+const MAX_NAMED_RELAYS: usize = 8;
 
-/// What a node keeps in the store under its name, and the failover coordinator under its key.
+/// The record that each node keeps in the store under its own key. The failover coordinator also puts it
+/// under the coordinator's key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// The node.
+    /// The node's name.
     pub node: NodeName,
-    /// Where it listens for other nodes.
+    /// The address at which the node listens for other nodes.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// The node's region and zone.
     pub locality: Locality,
-    /// Its share of the databases relative to other nodes.
+    /// The node's share of the databases relative to other nodes.
     pub weight: u16,
-    /// How much its link carries; records of older builds lack it.
+    /// The bandwidth class of the node's link; records of older builds lack it.
     #[serde(default)]
     pub link: LinkClass,
 }
 
 impl NodeRecord {
-    /// The record that lies under a key; `None` if it is none.
+    /// Decodes a store entry's value; `None` if it isn't a node's record.
     pub fn read(entry: &Entry) -> Option<Self> {
         serde_json::from_slice(&entry.value).ok()
     }
@@ -55,33 +57,33 @@
 /// The nodes that run, and those that may still run.
 #[derive(Default)]
 pub struct Membership {
-    /// Notified when the nodes that run have changed.
+    /// Notified when the set of nodes or of relays named by seeds may have changed.
     pub nodes_changed: Notify,
     nodes: RefCell<BTreeMap<NodeName, NodeRecord>>,
-    /// True once the nodes' keys were read.
+    /// True once the nodes' keys have been read from the store.
     known: Cell<bool>,
-    /// Relays that seeds named.
+    /// Addresses of relays that seeds named.
     named_relays: RefCell<Vec<SocketAddr>>,
-    /// Nodes whose key is gone, and since when.
+    /// Nodes whose key is gone from the store, each with the time since when.
     departed: RefCell<BTreeMap<NodeName, (NodeRecord, Instant)>>,
 }
 
 impl Membership {
-    /// Nodes that run, this one included.
+    /// Number of nodes that run, including this one.
     pub fn node_count(&self) -> usize {
         self.nodes.borrow().len().max(1)
     }
 
-    /// True once it is known which nodes run.
+    /// True once the list of nodes has been read from the store.
     pub fn is_known(&self) -> bool {
         self.known.get()
     }
 
-    /// Records which relays a seed names.
-    pub fn relays_named(&self, relays: Vec<SocketAddr>) {
+    /// Adds relays that a seed named, up to `MAX_NAMED_RELAYS` in all.
+    pub fn add_named_relays(&self, relays: Vec<SocketAddr>) {
         let mut named = self.named_relays.borrow_mut();
         for relay in relays {
-            if !named.contains(&relay) && named.len() < NAMED_RELAYS_AT_MOST {
+            if !named.contains(&relay) && named.len() < MAX_NAMED_RELAYS {
                 named.push(relay);
             }
         }
@@ -89,7 +91,7 @@
         self.nodes_changed.notify_waiters();
     }
 
-    /// Relays that seeds named.
+    /// Addresses of the relays that seeds named.
     pub fn named_relays(&self) -> Vec<SocketAddr> {
         self.named_relays.borrow().clone()
     }
@@ -99,60 +101,63 @@
         self.nodes.borrow()
     }
 
-    /// The other nodes' addresses.
+    /// Addresses of all nodes that run except `own`.
     pub fn others(&self, own: &NodeName) -> Vec<SocketAddr> {
         let nodes = self.nodes.borrow();
         let others = nodes.values().filter(|record| record.node != *own);
         others.map(|record| record.address).collect()
     }
 
-    /// Records that `nodes` are all that the store lists.
+    /// Replaces the nodes that run by `nodes`, the full list in the store.
     pub fn listed(&self, nodes: Vec<NodeRecord>) {
         self.known.set(true);
         let former = std::mem::take(&mut *self.nodes.borrow_mut());
-        former.into_values().for_each(|node| self.departed(node));
+        former
+            .into_values()
+            .for_each(|node| self.record_departed(node));
         nodes.into_iter().for_each(|node| self.joined(node));
     }
 
-    /// Records that the store lists a node.
+    /// Records a node that the store lists.
     pub fn joined(&self, node: NodeRecord) {
         let name = node.node.clone();
         self.departed.borrow_mut().remove(&name);
         self.nodes.borrow_mut().insert(name, node);
     }
 
-    /// Records that the store lists a node no longer.
+    /// Records that the store no longer lists a node.
     pub fn left(&self, name: &NodeName) {
         let node = self.nodes.borrow_mut().remove(name);
-        node.into_iter().for_each(|node| self.departed(node));
+        node.into_iter().for_each(|node| self.record_departed(node));
     }
 
-    fn departed(&self, node: NodeRecord) {
+    fn record_departed(&self, node: NodeRecord) {
         let mut departed = self.departed.borrow_mut();
-        departed.retain(|_, (_, at)| at.elapsed() < DEPARTED_REMEMBERED);
+        departed.retain(|_, (_, at)| at.elapsed() < DEPARTED_RETENTION);
         departed.insert(node.node.clone(), (node, Instant::now()));
     }
 
-    /// Records that a node's process has ended.
-    pub fn ended(&self, node: &NodeName) {
+    /// Records that a node's process has ended, so that the node no longer counts as possibly running.
+    pub fn record_ended(&self, node: &NodeName) {
         self.departed.borrow_mut().remove(node);
     }
 
-    /// The nodes that run in the same region as a database at `locality`.
-    pub fn near(&self, locality: &Locality) -> HashSet<SocketAddr> {
+    /// Addresses of the nodes that run in the region of `locality`.
+    pub fn in_region_of(&self, locality: &Locality) -> HashSet<SocketAddr> {
         let nodes = self.nodes.borrow();
-        let near = nodes
+        let in_region = nodes
             .values()
             .filter(|node| node.locality.region == locality.region);
-        near.map(|node| node.address).collect()
+        in_region.map(|node| node.address).collect()
     }
 
-    /// The addresses of all other nodes that may still run, whether or not the store lists them.
+    /// Addresses of all nodes except `own` that may still run: those that the store lists, and those whose
+    /// key has been gone for less than `DEPARTED_RETENTION`.
     pub fn electorate(&self, own: &NodeName) -> Vec<SocketAddr> {
         let departed = self.departed.borrow();
         let departed = departed.values();
         let remembered =
-            departed.filter(|(node, at)| node.node != *own && at.elapsed() < DEPARTED_REMEMBERED);
+            departed.filter(|(node, at)| node.node != *own && at.elapsed() < DEPARTED_RETENTION);
         let mut addresses = self.others(own);
         addresses.extend(remembered.map(|(node, _)| node.address));
         addresses
--- a/crates/dyketally-gateway/src/fleet/message.rs
+++ b/crates/dyketally-gateway/src/fleet/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams that nodes send each other.
+//! The messages that nodes send each other as UDP datagrams.
 
 use std::net::SocketAddr;
 
@@ -9,155 +9,158 @@
 
 use crate::fleet::membership::NodeRecord;
 
-/// What nodes send each other. It is encoded in postcard, which depends on the order of variants and
-/// fields: nodes of different builds talk to each other.
+/// A message between nodes. It is encoded in postcard, which depends on the order of variants and fields:
+/// keep both, since nodes of different builds exchange these messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The sender doesn't reach the primary.
+    /// The sender can't reach a primary.
     Suspect {
-        /// The group.
+        /// The primary's group.
         group: GroupName,
         /// The primary.
         database: DatabaseName,
     },
-    /// What does the receiver see of the primary?
+    /// Requests the receiver's vote on whether a primary can be reached.
     Poll {
-        /// Names the poll in replies.
+        /// Identifies the poll in replies.
         poll: u64,
-        /// The group.
+        /// The primary's group.
         group: GroupName,
         /// The primary.
         database: DatabaseName,
     },
-    /// What the sender sees.
+    /// Replies to [`PeerMessage::Poll`].
     Vote {
-        /// The poll.
+        /// The poll that this vote replies to.
         poll: u64,
-        /// What it sees.
+        /// Whether and how the primary answers the sender.
         evidence: Evidence,
-        /// True when it has lost the store.
+        /// True when the sender has lost its connection to the store.
         store_lost: bool,
     },
     /// The sender is the failover coordinator, which replaces primaries.
     CoordinatorAnnounced {
-        /// The sender.
+        /// The sender's record.
         record: NodeRecord,
     },
-    /// The receiver must no longer take a database for the leader of its group.
+    /// Requests that the receiver no longer treats a database as the primary of its group.
     Fence {
-        /// Names the question in replies.
+        /// Identifies the request in replies.
         round: u64,
-        /// The database.
+        /// The database to fence.
         database: DatabaseName,
-        /// The round of fences.
+        /// The round of fences that this fence belongs to.
         id: FenceId,
-        /// How long ago it was suspected, in milliseconds.
+        /// How long ago the database was suspected, in milliseconds.
         suspected_ms: u32,
     },
-    /// Whether the sender has put up the fence.
+    /// Replies to [`PeerMessage::Fence`].
     FenceReply {
-        /// The question.
+        /// The request that this message replies to.
         round: u64,
-        /// True when it hasn't, since the database has answered it after the suspicion.
+        /// True when the sender hasn't set the fence, since the database has answered it after the
+        /// suspicion or the round of fences is over.
         contested: bool,
-        /// Nodes to which the sender has lately given a sign of life.
+        /// Addresses of the nodes to which the sender has recently sent a sign of life.
         heard: Vec<SocketAddr>,
     },
-    /// A database that was fenced isn't replaced.
+    /// Clears the fence around a database that won't be replaced.
     LiftFence {
-        /// The database.
+        /// The fenced database.
         database: DatabaseName,
         /// The round of fences that is over.
         id: FenceId,
     },
-    /// Asks for a sign of life.
+    /// Requests a sign of life.
     SignOfLifeAsked {
-        /// Names the question in replies.
+        /// Identifies the request in replies.
         round: u64,
     },
-    /// A sign of life.
+    /// Replies to [`PeerMessage::SignOfLifeAsked`].
     SignOfLife {
-        /// The question.
+        /// The request that this message replies to.
         round: u64,
-        /// The fences that stand at the sender.
+        /// The fences that are set at the sender.
         fenced: Vec<StandingFence>,
     },
-    /// Asks for the failover coordinator's grant.
+    /// Requests the failover coordinator's grant of contact.
     ContactAsked {
-        /// Names the question in replies.
+        /// Identifies the request in replies.
         round: u64,
     },
-    /// How lately the sender was granted contact, and heard from most nodes.
+    /// Replies to [`PeerMessage::ContactAsked`] with the ages of the sender's own contacts.
     ContactReply {
-        /// The question.
+        /// The request that this message replies to.
         round: u64,
-        /// How long ago it asked for the grant that it has, in milliseconds; 0 for the coordinator
-        /// itself.
+        /// How long ago the sender requested the grant that it holds, in milliseconds; 0 for the
+        /// coordinator itself; `None` without a grant.
         granted_ms: Option<u32>,
-        /// How long ago it asked the nodes more than half of which replied, in milliseconds.
+        /// How long ago the sender sent the last request to which more than half of the nodes replied, in
+        /// milliseconds.
         majority_ms: Option<u32>,
-        /// The fences that stand at the sender.
+        /// The fences that are set at the sender.
         fenced: Vec<StandingFence>,
     },
-    /// Asks for a heartbeat. Unlike [`PeerMessage::SignOfLifeAsked`] the reply doesn't count as
-    /// contact of the sender.
+    /// Requests a heartbeat. Unlike for [`PeerMessage::SignOfLifeAsked`], the reply doesn't count as
+    /// contact of the requester with other nodes.
     HeartbeatAsked,
-    /// The sender's process runs.
+    /// Replies to [`PeerMessage::HeartbeatAsked`]: the sender's process is running.
     Heartbeat,
-    /// Which relays should a node of this zone follow?
+    /// Requests the relays that a node of a zone should follow.
     RelaysAsked {
-        /// The zone.
+        /// The zone of the requester.
         zone: ZoneName,
     },
-    /// Relays that the receiver may follow.
+    /// Replies to [`PeerMessage::RelaysAsked`].
     Relays {
-        /// Where they hear other nodes, in the order of preference.
+        /// Addresses at which the relays receive messages of other nodes, in the order of preference.
         relays: Vec<SocketAddr>,
     },
-    /// May the sender run operations of a tenant that has a quota?
+    /// Requests permission to run operations of a tenant that has a quota.
     PermitAsked {
-        /// Names the question in replies.
+        /// Identifies the request in replies.
         round: u64,
         /// The tenant.
         tenant: TenantName,
-        /// How many operations.
+        /// The number of operations.
         wanted: u32,
-        /// What the sender takes the receiver for.
+        /// The role that the receiver has for the tenant, as far as the sender knows.
         role: Role,
     },
-    /// What the sender decided as the tenant's accountant.
+    /// Replies to [`PeerMessage::PermitAsked`].
     PermitDecided {
-        /// The question.
+        /// The request that this message replies to.
         round: u64,
-        /// The decision.
+        /// The sender's decision as the tenant's accountant or stand-in.
         decision: Decision,
     },
-    /// Does the receiver hear the sender?
+    /// Checks that the receiver can be reached.
     ReachAsked {
-        /// Names the question in replies.
+        /// Identifies the request in replies.
         round: u64,
     },
-    /// It does.
+    /// Replies to [`PeerMessage::ReachAsked`].
     ReachReply {
-        /// The question.
+        /// The request that this message replies to.
         round: u64,
     },
-    /// The sender's process ends.
+    /// The sender's process is about to end.
     Ends {
         /// The sender.
         node: NodeName,
     },
-    /// The database leads its group now.
+    /// A database has become the primary of its group.
     Leads {
         /// The group.
         group: GroupName,
-        /// The database.
+        /// The new primary.
         database: DatabaseName,
     },
 }
 
 impl PeerMessage {
-    /// The kind, as counters and metrics name it. Some names are older than those of the variants.
+    /// The message's kind as counters and metrics name it. Some kinds keep an earlier name of their variant,
+    /// since operators' tools match them.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Suspect { .. } => "suspect",
--- a/crates/dyketally-gateway/src/fleet/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/mod.rs
@@ -1,10 +1,12 @@
-//! The nodes: which run, what they send each other, and whose connections to databases they use.
+//! The nodes of the gateway: which nodes run, the messages between them, and access to databases through
+//! them.
 //!
-//! Owns what is known of the nodes and of the failover coordinator, the socket for datagrams, the links
-//! to other nodes, and the placement of connections: which nodes are the homes of a database. Gives the
-//! layers above access to databases ([`access::DatabaseAccess`]), directly or by way of other nodes.
+//! Owns the records of nodes and of the failover coordinator, the UDP socket for datagrams between nodes,
+//! the links to other nodes, and the placement of connections. The homes of a database are the nodes that
+//! keep connections to it; other nodes send their statements to a home. Gives the layers above access to
+//! databases ([`access::DatabaseAccess`]), directly or through other nodes.
 //!
-//! Relies on the context and on `database`. Asks higher layers what to reply to datagrams
+//! Relies on the context and on `database`. Calls higher layers to reply to datagrams
 //! ([`peer::PeerRequests`]) and to serve subscriptions to the store ([`listener::ServeFeed`]).
 
 pub mod access;
@@ -12,7 +14,7 @@
 pub mod coordinator;
 pub mod forwarding;
 pub mod home;
-mod home_search;
+mod home_probe;
 pub mod homes;
 pub mod link;
 pub mod listener;
@@ -35,29 +37,29 @@
 use crate::context::Context;
 use crate::database::SharedDirectory;
 
-/// The nodes as this one knows and talks to them.
+/// The nodes that this node knows, and its communication with them.
 pub struct Fleet {
-    /// What all parts share.
+    /// The context that all parts of the process share.
     pub cx: Rc<Context>,
     directory: SharedDirectory,
     /// The nodes that run.
     pub membership: Membership,
-    /// Which of them is the failover coordinator.
+    /// Which node is the failover coordinator.
     pub coordinator: CoordinatorState,
-    /// The socket that nodes talk over, once it is bound.
+    /// The socket for datagrams between nodes; `None` until it is bound.
     pub peers: RefCell<Option<Rc<Peers>>>,
-    /// Where the bytes go that this process sends to other nodes.
+    /// Bytes that this process sent to other nodes, by receiver.
     pub traffic: Traffic,
     /// Which nodes keep connections to which database.
     pub homes: Homes,
     /// Links to the homes of databases.
     pub links: Links,
-    /// Calls of other nodes that run here, and their transactions that are open.
+    /// Number of calls from other nodes that are running on this node, plus their open transactions.
     pub calls: Cell<usize>,
 }
 
 impl Fleet {
-    /// No other nodes are known yet.
+    /// Creates the state of a node that knows no other nodes yet.
     pub fn new(cx: Rc<Context>, directory: SharedDirectory) -> Rc<Self> {
         Rc::new(Self {
             cx,
--- a/crates/dyketally-gateway/src/fleet/opening.rs
+++ b/crates/dyketally-gateway/src/fleet/opening.rs
@@ -1,4 +1,5 @@
-//! What a node sends first on a connection to another one.
+//! Openings: the first message that a node sends on a TCP connection to another node. It states what the
+//! connection is for.
 
 use std::net::SocketAddr;
 
@@ -9,27 +10,28 @@
 
 use crate::database::connection::prepare_socket;
 
-/// Longest opening, in bytes.
+/// Longest opening that is accepted, in bytes, without its length prefix.
 const LONGEST_OPENING: usize = 512;
 
-/// What a node sends first on a connection to another, after its length in two bytes.
+/// The first message on a connection between nodes, sent after its length in two bytes, big-endian. It is
+/// encoded in postcard, which depends on the order of variants and fields.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Opening {
-    /// Forward what follows to a database.
+    /// Asks the receiver to forward all further bytes to and from a database.
     Forward {
         /// The database.
         database: DatabaseName,
     },
-    /// Calls to a home follow.
+    /// Announces calls to the receiver as a home; see [`Call`](super::link::Call).
     Calls,
-    /// The sender subscribes to the receiver's copy of the store.
+    /// Subscribes the sender to the receiver's copy of the store.
     Feed,
 }
 
-/// Connects to the node at `address` for the purpose of `opening`.
+/// Connects to the node at `address` and sends it `opening`.
 ///
 /// # Errors
-/// The node can't be reached.
+/// The node can't be reached, or the opening can't be sent.
 pub async fn open(address: SocketAddr, opening: &Opening) -> std::io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address).await?;
     prepare_socket(&stream);
@@ -40,10 +42,10 @@
     Ok(stream)
 }
 
-/// Reads what the other node sent first.
+/// Reads the opening from a connection that another node opened.
 ///
 /// # Errors
-/// The connection broke, or it is no opening.
+/// The connection broke, or the bytes aren't an opening of at most `LONGEST_OPENING` bytes.
 pub(super) async fn read(stream: &mut TcpStream) -> std::io::Result<Opening> {
     let length = usize::from(stream.read_u16().await?);
     if length > LONGEST_OPENING {
--- a/crates/dyketally-gateway/src/fleet/passed_over.rs
+++ b/crates/dyketally-gateway/src/fleet/passed_over.rs
@@ -1,4 +1,4 @@
-//! Nodes that are left alone for a while after they failed.
+//! Nodes that are excluded from use for a while after they failed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -7,28 +7,27 @@
 
 use tokio::time::Instant;
 
-/// How long a node that failed is passed over: most come back, or are replaced, within seconds. Not
-/// measured.
-const PASSED_OVER: Duration = Duration::from_millis(1_500);
+/// How long a node that failed is excluded: most recover or are replaced within seconds.
+const EXCLUSION_TIME: Duration = Duration::from_millis(1_500);
 
-/// Nodes that failed lately.
+/// Nodes that are excluded, each with the time since when.
 #[derive(Debug, Default)]
 pub struct PassedOver {
     since: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
 impl PassedOver {
-    /// Passes over a node for a while.
+    /// Excludes a node for `EXCLUSION_TIME` from now on.
     pub fn add(&self, node: SocketAddr) {
         let mut since = self.since.borrow_mut();
-        since.retain(|_, at| at.elapsed() < PASSED_OVER);
+        since.retain(|_, at| at.elapsed() < EXCLUSION_TIME);
         since.insert(node, Instant::now());
     }
 
-    /// True when a node is passed over.
+    /// True while a node is excluded.
     pub fn contains(&self, node: &SocketAddr) -> bool {
         let since = self.since.borrow();
         let at = since.get(node);
-        at.is_some_and(|at| at.elapsed() < PASSED_OVER)
+        at.is_some_and(|at| at.elapsed() < EXCLUSION_TIME)
     }
 }
--- a/crates/dyketally-gateway/src/fleet/peer/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/mod.rs
@@ -1,7 +1,7 @@
-//! The socket for datagrams between nodes.
+//! The UDP socket for datagrams between nodes.
 //!
-//! Owns the socket and the rounds of questions that are open. Datagrams may get lost: who needs a reply
-//! asks again. What concerns higher layers is answered by them, see [`PeerRequests`].
+//! Owns the socket and the open rounds of requests. Datagrams may get lost, so a caller that needs a reply
+//! has to repeat its request. Requests that concern higher layers are passed to [`PeerRequests`].
 
 mod poll;
 mod requests;
@@ -26,92 +26,94 @@
 pub use self::rounds::Replies;
 use self::rounds::Rounds;
 
-/// For longer than this no node counts a sign of life that this one gave it. Not measured.
-const SIGN_OF_LIFE_HOLDS: Duration = Duration::from_millis(1_200);
-/// How long a node may take to reply that it is reached, and how often it is asked: regions lie 20 ms
-/// apart, and a datagram may get lost. Not measured.
-const REACH_LIMIT: Duration = Duration::from_millis(70);
-const REACH_TRIES: u32 = 2;
-/// Longest datagram, in bytes; well below what a path carries in one piece.
+/// No node counts a sign of life that this node sent it for longer than this.
+const SIGN_OF_LIFE_VALIDITY: Duration = Duration::from_millis(1_200);
+/// How long a node may take to reply to one request of [`Peers::is_reachable`]: regions are 20 ms apart.
+const REACH_TIMEOUT: Duration = Duration::from_millis(70);
+/// Number of requests that [`Peers::is_reachable`] sends: one datagram may get lost.
+const REACH_ATTEMPTS: u32 = 2;
+/// Longest datagram that is received, in bytes; well below the smallest MTU of a path.
 const LONGEST_DATAGRAM: usize = 1_024;
 
-/// The socket that nodes talk over.
+/// The socket for datagrams between nodes.
 pub struct Peers {
     access: Rc<DatabaseAccess>,
     socket: UdpSocket,
     polls: Rounds<Vote>,
     fence_rounds: Rounds<FenceReply>,
-    life_rounds: Rounds<SocketAddr>,
+    sign_of_life_rounds: Rounds<SocketAddr>,
     permit_rounds: Rounds<Decision>,
     reach_rounds: Rounds<()>,
     next_round: Cell<u64>,
     heartbeats: RefCell<Option<mpsc::UnboundedSender<SocketAddr>>>,
-    /// Nodes that asked this one for a sign of life, and when.
-    asked_by: RefCell<HashMap<SocketAddr, Instant>>,
+    /// Nodes that requested a sign of life from this node, each with the time of the last request.
+    sign_of_life_requesters: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
-/// What one node replied to a fence.
+/// The reply of one node to a request to set a fence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FenceReply {
-    /// Where the node listens for others.
+    /// The address at which the replying node listens for other nodes.
     pub from: SocketAddr,
-    /// True when the database has answered it since the suspicion.
+    /// True when the node hasn't set the fence, since the database has answered it after the suspicion or
+    /// the round of fences is over.
     pub contested: bool,
-    /// Nodes to which it has lately given a sign of life.
+    /// Addresses of the nodes to which the replying node has recently sent a sign of life.
     pub heard: Vec<SocketAddr>,
 }
 
 impl Peers {
-    /// Takes over a bound socket.
+    /// Creates the node's messaging on a bound socket.
     pub fn new(access: Rc<DatabaseAccess>, socket: UdpSocket) -> Rc<Self> {
         Rc::new(Self {
             access,
             socket,
             polls: Rounds::default(),
             fence_rounds: Rounds::default(),
-            life_rounds: Rounds::default(),
+            sign_of_life_rounds: Rounds::default(),
             permit_rounds: Rounds::default(),
             reach_rounds: Rounds::default(),
             next_round: Cell::new(1),
             heartbeats: RefCell::default(),
-            asked_by: RefCell::default(),
+            sign_of_life_requesters: RefCell::default(),
         })
     }
 
-    /// Receives messages until the process ends; `requests` answers those that concern higher layers.
+    /// Receives messages until the process ends; `requests` handles those that concern higher layers.
     pub async fn run(self: Rc<Self>, requests: Rc<dyn PeerRequests>) {
         let mut buffer = [0_u8; LONGEST_DATAGRAM];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
-                // A former datagram wasn't delivered: its address refuses them. That is a loss like others.
+                // An earlier datagram was refused at its destination (ICMP port unreachable). It counts as
+                // lost.
                 continue;
             };
-            // What can't be read is dropped: a newer build may know more kinds.
+            // A message that can't be decoded is dropped: a newer build may send further kinds.
             if let Ok(message) = postcard::from_bytes(&buffer[..length]) {
                 self.receive(&requests, from, message);
             }
         }
     }
 
-    /// Nodes that may count this one among those that replied to them lately.
+    /// Addresses of the nodes that may still count a sign of life that this node sent them.
     pub fn heard(&self) -> Vec<SocketAddr> {
-        let mut asked_by = self.asked_by.borrow_mut();
-        asked_by.retain(|_, at| at.elapsed() < SIGN_OF_LIFE_HOLDS);
-        asked_by.keys().copied().collect()
+        let mut requesters = self.sign_of_life_requesters.borrow_mut();
+        requesters.retain(|_, at| at.elapsed() < SIGN_OF_LIFE_VALIDITY);
+        requesters.keys().copied().collect()
     }
 
-    /// Sends one message; it may get lost.
+    /// Sends a message to one node, without a guarantee that it arrives.
     pub fn send(&self, to: SocketAddr, message: &PeerMessage) {
         if let Ok(bytes) = postcard::to_stdvec(message) {
             self.access
                 .fleet
                 .count_sent(message.kind(), to, bytes.len());
-            // A datagram that can't be sent is one that got lost.
+            // A datagram that can't be sent counts as lost.
             let _ = self.socket.try_send_to(&bytes, to);
         }
     }
 
-    /// Sends one message to all other nodes.
+    /// Sends a message to all other nodes that the store lists.
     pub fn broadcast(&self, message: &PeerMessage) {
         let own = &self.access.fleet.cx.settings.node.name;
         for address in self.access.fleet.membership.others(own) {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Sends one message to all other nodes that may run, listed or not.
+    /// Sends a message to all other nodes that may run, whether or not the store lists them.
     pub fn broadcast_to_electorate(&self, message: &PeerMessage) {
         let own = &self.access.fleet.cx.settings.node.name;
         for address in self.access.fleet.membership.electorate(own) {
@@ -127,15 +129,15 @@
         }
     }
 
-    /// True when the node at `address` replies to a datagram soon.
-    pub async fn is_reached(&self, address: SocketAddr) -> bool {
+    /// True when the node at `address` replies to a datagram within `REACH_ATTEMPTS` times `REACH_TIMEOUT`.
+    pub async fn is_reachable(&self, address: SocketAddr) -> bool {
         let mut replies = self.collect_reach_replies();
         let message = PeerMessage::ReachAsked {
             round: replies.round,
         };
-        for _ in 0..REACH_TRIES {
+        for _ in 0..REACH_ATTEMPTS {
             self.send(address, &message);
-            let reply = tokio::time::timeout(REACH_LIMIT, replies.receiver.recv());
+            let reply = tokio::time::timeout(REACH_TIMEOUT, replies.receiver.recv());
             if matches!(reply.await, Ok(Some(()))) {
                 return true;
             }
@@ -143,34 +145,34 @@
         false
     }
 
-    /// Where the nodes listen whose heartbeats arrive from now on.
+    /// Addresses of the nodes whose heartbeats arrive from now on. Replaces an earlier receiver.
     pub fn heartbeats(&self) -> mpsc::UnboundedReceiver<SocketAddr> {
         let (sender, receiver) = mpsc::unbounded_channel();
         *self.heartbeats.borrow_mut() = Some(sender);
         receiver
     }
 
-    /// Collects the replies to a fence.
+    /// Opens a round that collects replies to [`PeerMessage::Fence`].
     pub fn collect_fence_replies(&self) -> Replies<FenceReply> {
         self.fence_rounds.open(self.next_round())
     }
 
-    /// Collects signs of life: the addresses of the nodes that reply.
+    /// Opens a round that collects the addresses of the nodes that send a sign of life.
     pub fn collect_signs_of_life(&self) -> Replies<SocketAddr> {
-        self.life_rounds.open(self.next_round())
+        self.sign_of_life_rounds.open(self.next_round())
     }
 
-    /// Collects the decision on a question for permits.
+    /// Opens a round that collects decisions on a request for permits.
     pub fn collect_permits(&self) -> Replies<Decision> {
         self.permit_rounds.open(self.next_round())
     }
 
-    /// Collects the replies of nodes that are reached.
+    /// Opens a round that collects replies to [`PeerMessage::ReachAsked`].
     pub fn collect_reach_replies(&self) -> Replies<()> {
         self.reach_rounds.open(self.next_round())
     }
 
-    /// A number for the next round of any kind.
+    /// The next unused round number; rounds of all kinds share the sequence.
     fn next_round(&self) -> u64 {
         let round = self.next_round.get();
         self.next_round.set(round + 1);
--- a/crates/dyketally-gateway/src/fleet/peer/poll.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/poll.rs
@@ -1,4 +1,4 @@
-//! Polls: other nodes are asked what they see of a primary.
+//! Polls of other nodes on whether they reach a database.
 
 use std::net::SocketAddr;
 
@@ -9,32 +9,31 @@
 use super::{Peers, Replies};
 use crate::fleet::message::PeerMessage;
 
-/// Nodes that are asked about a primary: each may have to open a connection to it to find out. Not
-/// measured.
-const POLLED_AT_MOST: usize = 12;
+/// Maximum number of nodes in a poll: each may have to open a connection to the database to find out.
+const MAX_POLLED: usize = 12;
 
-/// What one node replied to a poll.
+/// The reply of one node to a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Vote {
-    /// What it sees of the primary.
+    /// Whether and how the database answers the voting node.
     pub evidence: Evidence,
-    /// True when it has lost the store.
+    /// True when the voting node has lost its connection to the store.
     pub store_lost: bool,
-    /// Where the node listens for others.
+    /// The address at which the voting node listens for other nodes.
     pub from: SocketAddr,
 }
 
 /// A poll that collects votes until it is dropped.
 pub struct Poll {
-    /// How many other nodes were asked.
+    /// Number of nodes that were polled.
     pub asked: usize,
-    /// The votes.
+    /// The votes as they arrive.
     pub votes: Replies<Vote>,
 }
 
 impl Peers {
-    /// Asks other nodes what they see of a primary: its homes, and others drawn at random, since
-    /// each of them may have to open a connection to find out.
+    /// Polls other nodes on whether they reach `database`: its homes, and a random sample of the others, up
+    /// to `MAX_POLLED` in all.
     pub fn poll(&self, group: &GroupName, database: &DatabaseName) -> Poll {
         let votes = self.polls.open(self.next_round());
         let message = PeerMessage::Poll {
@@ -42,7 +41,7 @@
             group: group.clone(),
             database: database.clone(),
         };
-        let polled = self.polled(database);
+        let polled = self.nodes_to_poll(database);
         for address in &polled {
             self.send(*address, &message);
         }
@@ -52,19 +51,19 @@
         }
     }
 
-    fn polled(&self, database: &DatabaseName) -> Vec<SocketAddr> {
+    fn nodes_to_poll(&self, database: &DatabaseName) -> Vec<SocketAddr> {
         let own = &self.access.fleet.cx.settings.node.name;
         let mut polled = self.access.fleet.homes_of(database);
         let mut others = self.access.fleet.membership.electorate(own);
         others.retain(|address| !polled.contains(address));
         others.shuffle(&mut rand::rng());
-        // The database's own zone or region may be lost with it, and couldn't tell.
+        // Nodes in the database's own region come last: they may be lost together with it and couldn't reply.
         if let Some(locality) = self.access.databases.locality_of(database) {
-            let near = self.access.fleet.membership.near(&locality);
-            others.sort_by_key(|address| near.contains(address));
+            let in_region = self.access.fleet.membership.in_region_of(&locality);
+            others.sort_by_key(|address| in_region.contains(address));
         }
         polled.extend(others);
-        polled.truncate(POLLED_AT_MOST);
+        polled.truncate(MAX_POLLED);
         polled
     }
 }
--- a/crates/dyketally-gateway/src/fleet/peer/requests.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/requests.rs
@@ -1,4 +1,4 @@
-//! What happens with the datagrams of other nodes.
+//! Handles the datagrams that arrive from other nodes.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,26 +13,29 @@
 use super::{FenceReply, Peers, Vote};
 use crate::fleet::message::PeerMessage;
 
-/// What this layer asks of higher ones to reply to other nodes.
+/// Handlers of requests from other nodes that higher layers provide.
 #[async_trait(?Send)]
 pub trait PeerRequests {
-    /// Some node suspects a primary.
+    /// Called when another node suspects a primary.
     fn suspected(&self, group: GroupName, database: DatabaseName);
 
-    /// What this node sees of a database of `group`; `None` when it doesn't know it.
+    /// Whether and how a database of `group` answers this node; `None` when this node doesn't know the
+    /// database.
     async fn evidence(&self, group: &GroupName, database: &DatabaseName) -> Option<Evidence>;
 
-    /// The reply to a question for the coordinator's grant.
+    /// The reply to a request for the coordinator's grant.
     fn grant_reply(&self, round: u64) -> PeerMessage;
 
-    /// Another node replied to a question for the coordinator's grant, with the ages of its contacts in
-    /// milliseconds. The fences that stand there were recorded before.
+    /// Called when another node replied to a request for the coordinator's grant. `granted_ms` and
+    /// `majority_ms` are the ages of that node's contacts in milliseconds; see
+    /// [`PeerMessage::ContactReply`]. The fences that are set there have been recorded before the call.
     fn receive_grant(&self, round: u64, granted_ms: Option<u32>, majority_ms: Option<u32>);
 
-    /// The relays that a node of a zone may follow.
+    /// Addresses of the relays that a node of `zone` may follow.
     fn relays_for(&self, zone: &ZoneName) -> Vec<SocketAddr>;
 
-    /// Decides in `role` on a question for `wanted` operations of `tenant`; `None` when it has no quota.
+    /// Decides in `role` on a request for `wanted` operations of `tenant`; `None` when the tenant has no
+    /// quota.
     fn account(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision>;
 }
 
@@ -94,7 +97,9 @@
                 self.access.databases.lift_round(&database, id)
             }
             PeerMessage::SignOfLifeAsked { round } => {
-                self.asked_by.borrow_mut().insert(from, Instant::now());
+                self.sign_of_life_requesters
+                    .borrow_mut()
+                    .insert(from, Instant::now());
                 let fenced = self.access.databases.standing_fences();
                 self.send(from, &PeerMessage::SignOfLife { round, fenced });
             }
@@ -102,7 +107,7 @@
                 self.access
                     .databases
                     .heard_of_fences(fenced, "a sign of life");
-                self.life_rounds.deliver(round, from);
+                self.sign_of_life_rounds.deliver(round, from);
             }
             PeerMessage::ContactAsked { round } => {
                 self.send(from, &requests.grant_reply(round));
@@ -121,7 +126,7 @@
             PeerMessage::HeartbeatAsked => self.send(from, &PeerMessage::Heartbeat),
             PeerMessage::Heartbeat => {
                 if let Some(heartbeats) = self.heartbeats.borrow().as_ref() {
-                    // Fails only when the task that counts heartbeats has ended: the process stops.
+                    // Fails only when the task that counts heartbeats has ended, as the process is stopping.
                     let _ = heartbeats.send(from);
                 }
             }
@@ -129,7 +134,7 @@
                 let relays = requests.relays_for(&zone);
                 self.send(from, &PeerMessage::Relays { relays });
             }
-            PeerMessage::Relays { relays } => self.access.fleet.membership.relays_named(relays),
+            PeerMessage::Relays { relays } => self.access.fleet.membership.add_named_relays(relays),
             PeerMessage::PermitAsked {
                 round,
                 tenant,
@@ -147,7 +152,7 @@
                 self.send(from, &PeerMessage::ReachReply { round });
             }
             PeerMessage::ReachReply { round } => self.reach_rounds.deliver(round, ()),
-            PeerMessage::Ends { node } => self.access.fleet.membership.ended(&node),
+            PeerMessage::Ends { node } => self.access.fleet.membership.record_ended(&node),
             PeerMessage::CoordinatorAnnounced { record } => {
                 self.access.fleet.coordinator.receive_announcement(record)
             }
@@ -160,7 +165,7 @@
         }
     }
 
-    /// Replies to a poll with what this node sees of a primary, once it has found out.
+    /// Replies to a poll, in the background, once this node has found out whether it reaches the database.
     fn vote(
         self: &Rc<Self>,
         requests: &Rc<dyn PeerRequests>,
--- a/crates/dyketally-gateway/src/fleet/peer/rounds.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of questions to other nodes: who waits for the replies of which round.
+//! Rounds of requests to other nodes: matches the replies of a round with the task that waits for them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 
 use tokio::sync::mpsc;
 
-/// The rounds of one kind that are open, by number.
+/// The open rounds of one kind, by number.
 pub(super) struct Rounds<T> {
     open: Rc<RefCell<HashMap<u64, mpsc::UnboundedSender<T>>>>,
 }
@@ -20,7 +20,7 @@
 }
 
 impl<T> Rounds<T> {
-    /// Opens a round under a number that no other has.
+    /// Opens a round under a number that no other open round has.
     pub(super) fn open(&self, round: u64) -> Replies<T> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.open.borrow_mut().insert(round, sender);
@@ -31,20 +31,20 @@
         }
     }
 
-    /// Passes a reply on to those who wait for it.
+    /// Passes a reply to the receiver of its round; drops it if the round is closed.
     pub(super) fn deliver(&self, round: u64, reply: T) {
         if let Some(sender) = self.open.borrow().get(&round) {
-            // Fails only when the round has just ended: the reply came too late.
+            // Fails only when the receiver is closed: the reply came too late.
             let _ = sender.send(reply);
         }
     }
 }
 
-/// The replies of one round, collected until it is dropped.
+/// Collects the replies of one round. Dropping it closes the round.
 pub struct Replies<T> {
-    /// Names the round in questions and replies.
+    /// Identifies the round in requests and replies.
     pub round: u64,
-    /// The replies.
+    /// The replies as they arrive.
     pub receiver: mpsc::UnboundedReceiver<T>,
     rounds: Rc<RefCell<HashMap<u64, mpsc::UnboundedSender<T>>>>,
 }
--- a/crates/dyketally-gateway/src/fleet/traffic.rs
+++ b/crates/dyketally-gateway/src/fleet/traffic.rs
@@ -1,5 +1,5 @@
-//! Where the bytes go that this process sends to other nodes: by kind of message, by zone and by node.
-//! Bytes between regions are dear, and the links of small machines bear few.
+//! Counts the bytes that this process sends to other nodes, by kind of message, by zone and by node.
+//! Traffic between regions is expensive, and the links of small machines have little bandwidth.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -10,26 +10,25 @@
 use crate::fleet::Fleet;
 use crate::fleet::membership::NodeRecord;
 
-/// Under which name bytes to addresses are counted that no known node has, or several in different
-/// zones.
+/// The zone label for bytes sent to an address of no known node, or of nodes in different zones.
 const UNKNOWN: &str = "unknown";
 
-/// A node that bytes go to.
+/// A node that receives bytes from this process.
 #[derive(Clone, Debug)]
 struct Receiver {
-    /// Its name.
+    /// The node's name.
     node: NodeName,
-    /// Its zone.
+    /// The node's zone.
     zone: ZoneName,
-    /// True when it is in another region than this node.
-    is_far: bool,
+    /// True when the node is in another region than this node.
+    in_other_region: bool,
 }
 
-/// Which node has which address, and how many bytes went to each.
+/// Bytes sent to each node, and a cache of which node has which address.
 #[derive(Debug, Default)]
 pub struct Traffic {
     by_address: RefCell<HashMap<SocketAddr, Receiver>>,
-    /// For connections that the other node opened, from a port of its own choice.
+    /// Receivers by IP address alone, for connections that the other node opened from an ephemeral port.
     by_host: RefCell<HashMap<IpAddr, Receiver>>,
     by_node: RefCell<BTreeMap<NodeName, u64>>,
 }
@@ -40,39 +39,41 @@
         self.by_node.borrow().clone()
     }
 
-    /// Forgets who has which address: nodes came or went, which may have the addresses of others.
+    /// Clears the cached addresses after nodes joined or left, since a node may have taken over the address
+    /// of another.
     pub fn forget_addresses(&self) {
         self.by_address.borrow_mut().clear();
         self.by_host.borrow_mut().clear();
     }
 
-    fn known(&self, address: SocketAddr) -> Option<Receiver> {
+    fn cached(&self, address: SocketAddr) -> Option<Receiver> {
         let exact = self.by_address.borrow().get(&address).cloned();
         exact.or_else(|| self.by_host.borrow().get(&address.ip()).cloned())
     }
 }
 
 impl Fleet {
-    /// Counts a message of `kind` that goes to the node at `to`. The port may be one that the other node
-    /// has for this connection alone.
+    /// Counts a message of `kind` with `bytes` bytes that is sent to the node at `to`. The port of `to` may
+    /// be the other node's ephemeral port.
     pub fn count_sent(&self, kind: &'static str, to: SocketAddr, bytes: usize) {
         let counters = &self.cx.counters;
         counters.sent_bytes.add(kind, bytes);
-        let Some(receiver) = self.traffic.known(to).or_else(|| self.receiver(to)) else {
+        let Some(receiver) = self.traffic.cached(to).or_else(|| self.find_receiver(to)) else {
             counters.sent_bytes_by_zone.add(UNKNOWN, bytes);
             return;
         };
         counters
             .sent_bytes_by_zone
             .add(receiver.zone.as_str(), bytes);
-        if receiver.is_far {
+        if receiver.in_other_region {
             counters.sent_bytes_far.add(kind, bytes);
         }
         let mut by_node = self.traffic.by_node.borrow_mut();
         *by_node.entry(receiver.node).or_default() += bytes as u64;
     }
 
-    fn receiver(&self, address: SocketAddr) -> Option<Receiver> {
+    /// Finds the known node at `address`, by IP address alone if no node has this port, and caches it.
+    fn find_receiver(&self, address: SocketAddr) -> Option<Receiver> {
         let nodes = self.membership.nodes();
         let exact = nodes.values().find(|node| node.address == address);
         let mut same_host = nodes
@@ -82,14 +83,14 @@
             Some(node) => node,
             None => same_host.next()?,
         };
-        let is_clear = |other: &NodeRecord| other.locality.zone == node.locality.zone;
-        if exact.is_none() && !same_host.all(is_clear) {
+        let in_same_zone = |other: &NodeRecord| other.locality.zone == node.locality.zone;
+        if exact.is_none() && !same_host.all(in_same_zone) {
             return None;
         }
         let receiver = Receiver {
             node: node.node.clone(),
             zone: node.locality.zone.clone(),
-            is_far: node.locality.region != self.cx.settings.own_locality().region,
+            in_other_region: node.locality.region != self.cx.settings.own_locality().region,
         };
         let traffic = &self.traffic;
         if exact.is_some() {
--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -15,7 +15,7 @@
 use crate::event::Event;
 use crate::fleet::Fleet;
 use crate::fleet::access::DatabaseAccess;
-use crate::fleet::forwarding::ThroughNodes;
+use crate::fleet::forwarding::NodeForwarding;
 use crate::ports::{SharedCallerProtocol, SharedDatabaseProtocol};
 use crate::quota::Quotas;
 use crate::session::Sessions;
@@ -56,7 +56,7 @@
         let directory = SharedDirectory::default();
         let fleet = Fleet::new(cx.clone(), directory.clone());
         let quotas = Quotas::new(cx.clone(), fleet.clone());
-        let connector = Connector::new(database_protocol, Rc::new(ThroughNodes));
+        let connector = Connector::new(database_protocol, Rc::new(NodeForwarding));
         let databases = Databases::new(cx.clone(), directory, connector, fleet.clone());
         let feed = Feed::new(fleet.clone(), databases.clone());
         let access = DatabaseAccess::new(fleet.clone(), databases.clone());
@@ -127,7 +127,7 @@
     pub fn tidy(&self) {
         self.tell_counters();
         self.databases.tidy();
-        self.fleet.links.tidy();
+        self.fleet.links.close_expired();
     }
 
     /// Acts on nodes that came or went: each pool gets another share of its database's connections.
--- a/crates/dyketally-gateway/tests/wire/links.rs
+++ b/crates/dyketally-gateway/tests/wire/links.rs
@@ -139,7 +139,7 @@
     Call {
         database: "ledger-1-b".into(),
         priority: 2,
-        patience_ms: 1_500,
+        wait_limit_ms: 1_500,
         burst_ms: 250,
         standing_ms: 40,
         work: Work::Statements,
