--- a/crates/dyketally-gateway/src/counters.rs
+++ b/crates/dyketally-gateway/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the process has done since its start.
+//! Counters of the process since its start, which are written to the log.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,12 +7,12 @@
 
 use serde::Serialize;
 
-/// One count.
+/// A counter that only grows.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Counts one more.
+    /// Adds one.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
@@ -24,14 +24,14 @@
     }
 }
 
-/// Counts by kind; of messages to other nodes their bytes by kind or by zone, without the headers of
-/// the network.
+/// A counter for each kind. For messages to other nodes it counts bytes, without the headers of IP, TCP and
+/// UDP, by kind of message or by zone.
 #[derive(Debug, Default, Serialize)]
 #[serde(transparent)]
 pub struct CountsByKind(RefCell<BTreeMap<String, u64>>);
 
 impl CountsByKind {
-    /// Counts `count` more of `kind`.
+    /// Adds `more` to the count of `kind`.
     pub fn add(&self, kind: &str, more: usize) {
         let mut counts = self.0.borrow_mut();
         match counts.get_mut(kind) {
@@ -43,42 +43,43 @@
     }
 }
 
-/// All counts. Names are documented in `docs/logs.md`.
+/// All counters; `docs/logs.md` documents their names.
 #[derive(Debug, Default, Serialize)]
 pub struct Counters {
-    /// Sessions opened.
+    /// Sessions of callers that were opened.
     pub sessions: Counter,
-    /// Connections of callers that were refused since this node had no room for them.
+    /// Connections of callers that were refused since this node had no room for further sessions.
     pub sessions_refused: Counter,
-    /// Single statements and statements of transactions that succeeded.
+    /// Statements that succeeded, single ones and those of transactions.
     pub served: Counter,
     /// Statements that failed.
     pub failed: Counter,
     /// Operations and sessions refused since no tenant has the caller's key.
     pub unknown_keys: Counter,
-    /// Operations and sessions refused since the node can't know whether the caller's key still stands.
+    /// Operations and sessions refused since the node can't determine whether the caller's key is still
+    /// valid.
     pub keys_uncertain: Counter,
     /// Operations refused since their tenant has used up its quota.
     pub over_quota: Counter,
-    /// Operations decided on without an accountant of the tenant's quota.
+    /// Operations decided on by this node alone, without an accountant of the tenant's quota.
     pub permits_alone: Counter,
     /// Single reads that a replica answered.
     pub reads_at_replicas: Counter,
     /// Single reads that a primary answered.
     pub reads_at_primaries: Counter,
-    /// Single reads that had to be answered by a primary, by their route.
+    /// Single reads whose route requires a primary.
     pub reads_bound_to_primaries: Counter,
-    /// Reads that a replica refused because it was behind.
+    /// Reads that a replica refused because its log was behind the required position.
     pub reads_behind: Counter,
-    /// Attempts beyond the first of a statement.
+    /// Attempts at statements beyond the first attempt of each.
     pub further_attempts: Counter,
-    /// Empty transactions that asked a primary for its position.
+    /// Empty transactions that were run to get the log position of a primary.
     pub confirmations: Counter,
-    /// Sendings to databases that were denied, by reason.
+    /// Denied attempts to send to databases, by reason.
     pub denied: CountsByKind,
     /// Bytes sent to other nodes, by kind of message.
     pub sent_bytes: CountsByKind,
-    /// The same by zone of the receiver.
+    /// Bytes sent to other nodes, by zone of the receiver.
     pub sent_bytes_by_zone: CountsByKind,
     /// Bytes sent to nodes of other regions, by kind of message.
     pub sent_bytes_far: CountsByKind,
@@ -88,7 +89,7 @@
 }
 
 impl Counters {
-    /// Counts from zero; `store` is counted by the metered store.
+    /// All counters at zero; the metered store shares `store` and counts in it.
     pub fn new(store: Arc<StoreCalls>) -> Self {
         Self {
             store,
@@ -97,24 +98,24 @@
     }
 }
 
-/// Calls since the start of the process, failed ones included. Names are documented in
-/// `docs/logs.md`.
+/// Calls to the store since the start of the process, including failed ones; `docs/logs.md` documents the
+/// names.
 #[derive(Debug, Default, Serialize)]
 pub struct StoreCalls {
-    /// Ranges read, but for stale ones.
+    /// Reads of key ranges that return current data.
     pub(crate) store_reads: AtomicU64,
-    /// Ranges read that may be some seconds old.
+    /// Reads of key ranges that may return data some seconds old.
     pub(crate) store_stale_reads: AtomicU64,
-    /// Transactions and single keys written.
+    /// Writes, each of a transaction or of a single key.
     pub(crate) store_writes: AtomicU64,
-    /// Waits for changes that ended.
+    /// Waits for changes of keys that returned.
     pub(crate) store_watches: AtomicU64,
-    /// Leases granted or ended.
+    /// Calls that granted or ended a lease.
     pub(crate) store_leases: AtomicU64,
-    /// Leases renewed.
+    /// Calls that renewed a lease.
     pub(crate) store_renewals: AtomicU64,
-    /// Bytes of keys and values that the store sent, before they are encoded.
+    /// Bytes of keys and values received from the store, without the encoding of its protocol.
     pub(crate) store_received_bytes: AtomicU64,
-    /// Bytes of keys and values that the store was sent.
+    /// Bytes of keys and values sent to the store, without the encoding of its protocol.
     pub(crate) store_sent_bytes: AtomicU64,
 }
--- a/crates/dyketally-gateway/src/event.rs
+++ b/crates/dyketally-gateway/src/event.rs
@@ -1,4 +1,4 @@
-//! Structured log: one JSON line for each decision, bounded in lines per second.
+//! Structured log: one JSON line for each event, with a limit of lines per second.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,142 +10,143 @@
 
 use crate::counters::Counters;
 
-/// Lines written per second; further ones are counted.
+/// Maximum number of lines written per second; lines beyond it are only counted as dropped.
 const LINES_PER_SECOND: u32 = 60;
-/// Of these, lines on single statements: what explains many of them must not be dropped for them.
+/// Lines on single statements are dropped once this many lines have been written in a second. The rest is
+/// reserved for other events, such as a failover that explains many failed statements.
 const STATEMENT_LINES_PER_SECOND: u32 = 40;
 
-/// What happened. Field names are documented in `docs/logs.md`.
+/// An event of the log; `docs/logs.md` documents the names of events and fields.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event<'a> {
-    /// The process serves.
+    /// The process has started and accepts sessions.
     Started {
-        /// The node.
+        /// This node's name.
         node: &'a str,
     },
-    /// The process was told that its settings changed.
+    /// The process was notified that its settings file changed.
     SettingsChanged {
-        /// What comes of it.
+        /// What the change does to the running process.
         effect: &'a str,
     },
-    /// The process was asked to stop.
+    /// The process was requested to stop.
     Stopping {
-        /// Sessions that are open.
+        /// Number of open sessions.
         sessions: usize,
     },
     /// The process ends.
     Stopped {
-        /// Sessions that were cut off.
+        /// Number of sessions that were still open and were closed.
         sessions: usize,
     },
-    /// A configuration is in force.
+    /// A configuration has become the current one.
     ConfigurationInForce {
-        /// Its revision.
+        /// The configuration's revision.
         revision: u64,
-        /// Its routes.
+        /// Number of routes in the configuration.
         routes: usize,
-        /// The store's revision at which it was put.
+        /// The store's revision at which the configuration was put.
         stored: u64,
     },
-    /// A configuration that this node received isn't put in force, since it isn't newer than the one
-    /// that is.
+    /// A configuration that this node received was ignored, since its revision is lower than the current
+    /// one's.
     ConfigurationNotNewer {
-        /// Its revision.
+        /// The revision of the ignored configuration.
         revision: u64,
-        /// The revision in force.
+        /// The revision of the current configuration.
         in_force: u64,
-        /// The store's revision at which it was put.
+        /// The store's revision at which the ignored configuration was put.
         stored: u64,
     },
-    /// A document of the operators' that is newer than this node's arrived.
+    /// A document written by operators arrived, newer than this node's version.
     ConfigurationReceived {
-        /// Its key.
+        /// The document's key.
         key: String,
-        /// The store's revision at which it was put.
+        /// The store's revision at which the document was put.
         stored: u64,
-        /// Who told: the store, or the address of a relay.
+        /// The sender: the store, or the address of a relay.
         source: String,
-        /// Whether it came with all others, alone, or as a difference.
+        /// Whether the document came in a copy of all documents, alone, or as a difference.
         form: Form,
-        /// Its length in bytes, once it is decoded.
+        /// The decoded document's length in bytes.
         bytes: usize,
     },
-    /// What operators wrote was passed on to the nodes that follow this one.
+    /// Documents written by operators were passed on to the nodes that follow this one.
     ConfigurationPassedOn {
-        /// The store's revision that it brings them to.
+        /// The store's revision that the followers have afterwards.
         stored: u64,
-        /// Whether all documents were sent, one, or a difference.
+        /// Whether a copy of all documents, one document, or a difference was sent.
         form: Form,
-        /// Bytes sent to each follower.
+        /// Number of bytes sent to each follower.
         bytes: usize,
-        /// Followers.
+        /// Number of followers.
         followers: usize,
     },
-    /// Nobody has confirmed for a while that this node's configuration is the newest one.
+    /// Neither the store nor a relay has confirmed for some time that this node's configuration is the newest.
     ConfigurationUnconfirmed {
-        /// How long ago that was confirmed last, in milliseconds.
+        /// Time since the last confirmation, in milliseconds.
         confirmed_ms_ago: u64,
-        /// Who should tell: the store, or the address of a relay.
+        /// The source that should confirm the configuration: the store, or the address of a relay.
         source: String,
-        /// How long this node's own watch of the store has been lost, in milliseconds; none while it
-        /// stands.
+        /// How long this node's own watch of the store has been lost, in milliseconds; none while the watch
+        /// is active.
         watch_lost_for_ms: Option<u64>,
     },
-    /// This node's configuration is confirmed again.
+    /// This node's configuration is confirmed again to be the newest.
     ConfigurationConfirmed,
-    /// A document in the store can't be used.
+    /// A document in the store is invalid and was ignored.
     DocumentRefused {
-        /// Its key.
+        /// The document's key.
         key: &'a str,
-        /// What is wrong.
+        /// What is wrong with the document.
         reason: &'a str,
     },
-    /// This node has no room for further sessions, so it isn't ready; or it has room again.
+    /// This node has no room for further sessions and so isn't ready, or has room again.
     SessionsFull {
-        /// True while there is no room.
+        /// True when there is no room.
         full: bool,
-        /// Sessions that are open.
+        /// Number of open sessions.
         open: u32,
     },
-    /// Operators request that the databases of a zone get nothing more.
+    /// Operators requested the evacuation of a zone: its databases get no further requests.
     EvacuationBegan {
         /// The zone.
         zone: &'a str,
-        /// False when the settings name no such zone; check its name.
+        /// False when the settings contain no zone of this name; check the name.
         is_known: bool,
-        /// False when all zones are evacuated, so that nothing can be served.
+        /// False when all zones are evacuated, so that no statement can run.
         leaves_a_zone: bool,
     },
-    /// A zone's databases may be used again.
+    /// The evacuation of a zone ended: its databases may be used again.
     EvacuationEnded {
         /// The zone.
         zone: &'a str,
     },
-    /// A route or tenant is bound to a region that no zone of the settings is in; check its name.
+    /// A route or tenant is bound to a region that no zone of the settings is in; check the region's name.
     RegionUnknown {
         /// The region.
         region: &'a str,
     },
-    /// Statements were refused since no database may serve them, once for each group and reason in a
-    /// while.
+    /// A statement was refused since no database may run it. Not every such statement is logged: there is a
+    /// minimum time between two of these lines for the same group.
     ServedNowhere {
-        /// The group.
+        /// The statement's group.
         group: &'a str,
-        /// The route.
+        /// The statement's route.
         route: &'a str,
-        /// The regions that its route and its tenant allow.
+        /// The regions that both the route and the tenant allow.
         regions: String,
-        /// Why, and what an operator can do.
+        /// Why no database may run the statement, and what an operator can do.
         reason: String,
     },
-    /// A database has just started and gets only its slow-start rate.
+    /// A database has just started and gets requests only at its slow-start rate.
     DatabaseCold {
         /// The database.
         database: &'a str,
-        /// Its group.
+        /// The database's group.
         group: &'a str,
-        /// How much longer by its announcement, in milliseconds.
+        /// How much longer the database is cold according to its announcement, in milliseconds.
         cold_for_ms: u64,
     },
     /// A database appeared, left or changed.
@@ -153,146 +154,149 @@
         /// What changed.
         change: String,
     },
-    /// A node that this one watches over was silent for so long that its key is removed.
+    /// A node whose liveness this node checks sent no heartbeat for so long that its key is removed from the
+    /// store.
     NodeGone {
         /// The node.
         node: &'a str,
-        /// False when its key had changed, or the store didn't answer.
+        /// False when the key wasn't removed, since it had changed or the store didn't answer.
         removed: bool,
     },
-    /// This node no longer watches the store but follows a relay.
+    /// This node stopped watching the store itself and follows a relay.
     RelayFollowed {
-        /// The relay.
+        /// The relay's address.
         relay: String,
     },
-    /// The relay that this node followed is lost.
+    /// This node lost the relay that it followed.
     RelayLost {
-        /// The relay.
+        /// The relay's address.
         relay: String,
-        /// Why.
+        /// Why the relay was lost.
         reason: &'a str,
     },
-    /// The store was lost.
+    /// This node lost its watch of the store.
     StoreLost {
-        /// What is followed there.
+        /// The prefix of the keys that were watched.
         prefix: &'a str,
-        /// What the store reported.
+        /// The error that the store or the connection reported.
         reason: String,
     },
-    /// The store is back.
+    /// This node watches the store again.
     StoreRegained {
-        /// What is followed there.
+        /// The prefix of the keys that are watched.
         prefix: &'a str,
     },
-    /// This node is the failover coordinator from now on: it replaces primaries.
+    /// This node has become the failover coordinator, which replaces primaries.
     DutyTaken {
-        /// Its fencing token.
+        /// The fencing token of this node's term.
         token: u64,
     },
-    /// This node is the failover coordinator no longer.
+    /// This node is no longer the failover coordinator.
     DutyLost {
-        /// Why.
+        /// Why the term ended.
         reason: &'a str,
     },
-    /// Neither the store nor enough nodes have replied to this node lately, so it checks each primary's
-    /// answers at the group's other databases.
+    /// Neither the store nor enough nodes have replied to this node recently, so that it might miss the
+    /// replacement of a primary. It checks each primary's answers at the group's other databases.
     Isolated,
-    /// This node would hear again of primaries that are replaced.
+    /// This node is no longer isolated: it would be notified of the replacement of a primary.
     InTouch,
-    /// This node can't know any longer whether keys of callers still stand, and refuses what needs one.
+    /// This node can't determine any longer whether callers' keys are valid, and refuses operations that need
+    /// one.
     KeysUncertain {
-        /// How long ago they were confirmed last, in milliseconds; none if they never were.
+        /// Time since the keys were last confirmed, in milliseconds; none if they never were.
         confirmed_ms_ago: Option<u64>,
     },
-    /// This node knows again which keys stand.
+    /// This node has confirmed again which keys are valid.
     KeysConfirmed,
     /// A primary doesn't answer this node.
     PrimarySuspected {
-        /// The group.
+        /// The primary's group.
         group: &'a str,
         /// The primary.
         database: &'a str,
-        /// What was seen.
+        /// How the primary failed to answer.
         evidence: String,
     },
-    /// The nodes were asked about a primary.
+    /// Nodes were polled on whether they reach a primary.
     PrimaryPolled {
-        /// The group.
+        /// The primary's group.
         group: &'a str,
         /// The primary.
         database: &'a str,
-        /// What they saw.
+        /// The nodes' votes.
         evidence: String,
-        /// What follows.
+        /// The result of the poll.
         verdict: String,
     },
-    /// A database isn't taken for the leader of its group any more, since it may be replaced.
+    /// A fence was set: this node no longer treats a database as the primary of its group, since the database
+    /// may be replaced.
     FencePutUp {
-        /// The database.
+        /// The fenced database.
         database: &'a str,
-        /// Who told.
+        /// The source of the fence: the store or the kind of message that brought it.
         source: &'a str,
     },
-    /// A database may be taken for the leader of its group again.
+    /// A fence was cleared: a database may be treated as the primary of its group again.
     FenceLifted {
         /// The database.
         database: &'a str,
     },
     /// A step of replacing a primary.
     FailoverStep {
-        /// The group.
+        /// The primary's group.
         group: &'a str,
         /// The step.
         step: &'a str,
-        /// What it found or did.
+        /// The result of the step.
         detail: String,
     },
-    /// What the process has done since its start.
+    /// The counters since the start of the process.
     Counters(&'a Counters),
-    /// Bytes sent to each other node since the start.
+    /// Bytes sent to other nodes since the start of the process.
     Traffic {
-        /// By node.
+        /// Bytes sent to each node, by name.
         sent_bytes: BTreeMap<NodeName, u64>,
     },
     /// A statement was answered with a failure of the gateway's own, or only on a further attempt.
     StatementDecided {
         /// The caller's name for the attempt.
         id: &'a str,
-        /// The group.
+        /// The statement's group.
         group: &'a str,
-        /// Whose the statement is.
+        /// The statement's tenant; `none` without a tenant.
         tenant: &'a str,
-        /// What the caller was told.
+        /// The kind of the answer that the caller got.
         outcome: String,
-        /// Why.
+        /// The reason for the outcome.
         reason: &'a str,
-        /// Attempts made at databases.
+        /// Number of attempts made at databases.
         attempts: u32,
-        /// Milliseconds since the statement arrived.
+        /// Time since the statement arrived, in milliseconds.
         elapsed_ms: u64,
     },
 }
 
-/// How much of the configuration a message holds.
+/// How much of the documents written by operators a message contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Form {
-    /// All keys.
+    /// All keys with their values.
     Copy,
     /// One key with its new value.
     Change,
-    /// One key with what is new in its value.
+    /// One key with the difference between its old and its new value.
     Difference,
 }
 
 /// One line of the log.
 #[derive(Serialize)]
 pub struct Line<'a> {
-    /// Milliseconds since the start of the process.
+    /// Time since the start of the process, in milliseconds.
     pub at_ms: u64,
-    /// Lines that were dropped since the one before.
+    /// Number of lines dropped since the preceding line.
     pub dropped: u32,
-    /// What happened.
+    /// The event, whose name and fields are part of the same JSON object.
     #[serde(flatten)]
     pub event: &'a Event<'a>,
 }
@@ -307,7 +311,7 @@
 }
 
 impl Default for EventLog {
-    /// A log that starts now.
+    /// Creates a log whose times count from now.
     fn default() -> Self {
         Self {
             started: Instant::now(),
@@ -320,7 +324,7 @@
 }
 
 impl EventLog {
-    /// Writes an event, or counts it when this second's lines are used up.
+    /// Writes an event, or counts it as dropped if this second's limit is reached.
     pub fn write(&self, event: &Event<'_>) {
         let elapsed = self.started.elapsed();
         if self.second.replace(elapsed.as_secs()) != elapsed.as_secs() {
@@ -344,7 +348,7 @@
         buffer.clear();
         if serde_json::to_writer(&mut *buffer, &line).is_ok() {
             buffer.push(b'\n');
-            // A log that can't be written must not stop the gateway.
+            // The gateway continues if its log can't be written.
             let _ = std::io::stdout().write_all(&buffer);
         }
     }
--- a/crates/dyketally-gateway/src/fleet/connection.rs
+++ b/crates/dyketally-gateway/src/fleet/connection.rs
@@ -52,8 +52,8 @@
         });
     }
 
-    /// Waits until the database's slow start allows the next batch of an open transaction. For a connection
-    /// of a home it returns at once, since the home waits itself.
+    /// Waits for a slot of the database before the next batch of an open transaction. Returns at once for a
+    /// connection of a home, since the home waits itself.
     pub async fn wait_for_turn(&mut self, batch: &Batch) {
         match self {
             Self::Own(checkout) => checkout.wait_for_turn(batch).await,
--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The parts of the process, and what concerns several of them.
+//! Assembles the parts of the process, and holds operations that involve several of them.
 
 use std::collections::BTreeSet;
 use std::rc::{Rc, Weak};
@@ -26,17 +26,17 @@
 
 /// The parts of the process.
 pub struct Gateway {
-    /// What all parts share.
+    /// The context that all parts share.
     pub cx: Rc<Context>,
     /// The databases.
     pub databases: Rc<Databases>,
     /// The other nodes.
     pub fleet: Rc<Fleet>,
-    /// Access to databases.
+    /// Access to databases, directly and through other nodes.
     pub access: Rc<DatabaseAccess>,
-    /// Copies of the store's keys, as they are passed on between nodes.
+    /// Copies of the store's keys, which nodes pass on to each other.
     pub feed: Rc<Feed>,
-    /// Who leads which group, and whether that can be relied on.
+    /// The primary of each group, and whether this node's knowledge of it is confirmed.
     pub leadership: Rc<Leadership>,
     /// Quotas of tenants.
     pub quotas: Rc<Quotas>,
@@ -45,7 +45,7 @@
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway that has read nothing from the store and knows no databases and no other nodes.
     pub fn new(
         settings: Settings,
         caller_protocol: SharedCallerProtocol,
@@ -78,19 +78,20 @@
         gateway
     }
 
-    /// True when the process knows routes and databases, may serve some of them, and has room for
-    /// sessions.
+    /// True when the process has routes and the list of databases, isn't stopping, may run statements, and has
+    /// room for sessions.
     pub fn is_ready(&self) -> bool {
         let has_all = self.cx.is_configured() && self.databases.is_listed();
         let may_serve = !self.cx.refuses_all() && !self.sessions.is_full();
         has_all && !self.cx.stop.is_stopping() && may_serve
     }
 
-    /// Puts routes in force that were `stored` at a revision of the store's, unless newer ones are.
+    /// Applies a configuration, unless the current one has the same or a higher revision. `stored` is the
+    /// store's revision at which the configuration was put.
     pub fn put_in_force(&self, routes: RouteSet, stored: StoreRevision) {
         let in_force = self.cx.routes().revision;
         if self.cx.is_configured() && routes.revision <= in_force {
-            // Copies bring what is in force again and again; that needs no line.
+            // Copies of the store deliver the current configuration repeatedly, which needs no log line.
             if routes.revision < in_force {
                 self.cx.events.write(&Event::ConfigurationNotNewer {
                     revision: routes.revision.0,
@@ -118,26 +119,28 @@
         self.cx.changes.notify();
     }
 
-    /// Writes the counters into the log.
+    /// Writes the counters to the log.
     pub fn tell_counters(&self) {
         self.cx.events.write(&Event::Counters(&self.cx.counters));
     }
 
-    /// Does what is due now and then.
+    /// Runs the periodic tasks: logs the counters, and tidies databases and idle links.
     pub fn tidy(&self) {
         self.tell_counters();
         self.databases.tidy();
         self.fleet.links.close_expired();
     }
 
-    /// Acts on nodes that came or went: each pool gets another share of its database's connections.
+    /// Applies a change of the set of nodes: clears cached placements and addresses, and gives each pool its
+    /// new share of its database's connections.
     pub fn nodes_changed(&self) {
         self.fleet.homes.forget();
         self.fleet.traffic.forget_addresses();
         self.databases.apply_shares_soon();
     }
 
-    /// Logs regions that routes or tenants name and no zone has: nothing is served there.
+    /// Logs each region that a route or tenant is bound to and that no zone of the settings is in: no
+    /// database is in such a region.
     pub fn report_unknown_regions(&self) {
         let known: BTreeSet<&RegionName> = self.cx.settings.zones.values().collect();
         let named = self.cx.routes().named_regions();
--- a/crates/dyketally-gateway/src/lib.rs
+++ b/crates/dyketally-gateway/src/lib.rs
@@ -1,9 +1,9 @@
 //! The gateway: serves callers' statements from database groups that announce themselves in a
 //! key-value store, over protocols that are passed in as ports.
 //!
-//! Every node runs the same process. A node terminates callers' sessions, keeps connections of its
-//! own to the databases, and takes part in electing the one node that replaces lost primaries. All
-//! tasks of a process run on one thread, so state is shared without locks.
+//! Every node runs the same process. A node terminates callers' sessions, keeps connections of its own to
+//! databases, and may become the failover coordinator, the one node that replaces lost primaries. All tasks
+//! of a process run on one thread, so state is shared without locks.
 
 pub mod context;
 pub mod counters;
--- a/crates/dyketally-gateway/src/measures.rs
+++ b/crates/dyketally-gateway/src/measures.rs
@@ -1,5 +1,5 @@
-//! Metrics of the process in the text format of Prometheus: what was counted and timed since its
-//! start, and how things stand as they are asked for.
+//! Prometheus metrics that the process counts and times since its start: statements, their stages,
+//! connections and quotas.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -10,28 +10,30 @@
 use prometheus::proto::MetricFamily;
 use prometheus::{HistogramOpts, HistogramVec, IntCounterVec, Opts, Registry};
 
-/// Upper bounds of the histograms' buckets, in seconds: from a statement in one zone to the longest
-/// that callers wait.
+/// Upper bounds of the histograms' buckets, in seconds: from the time of a statement within one zone to the
+/// longest time that callers wait.
 const BUCKETS: [f64; 11] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0,
 ];
-/// Tenants that have a label of their own; the rest are counted together.
-const TENANTS_AT_MOST: usize = 100;
+/// Maximum number of tenants that get a label of their own; further tenants share `OTHER_TENANTS`.
+const MAX_TENANT_LABELS: usize = 100;
+/// Label of all tenants beyond `MAX_TENANT_LABELS`.
 const OTHER_TENANTS: &str = "other";
+/// Label of statements that belong to no tenant.
 const NO_TENANT: &str = "none";
 
-/// Stages of a statement's way.
+/// The stages in which a statement spends its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Waiting for a permit of the tenant's quota.
     Permit,
-    /// Waiting for a connection or a turn.
+    /// Waiting in a pool's queue for a connection or a slot.
     Queue,
-    /// Opening a connection.
+    /// Opening a connection to a database.
     Connection,
-    /// At the database.
+    /// Running at the database, including the network round trip.
     Database,
-    /// At a home and back, with what happens there.
+    /// A whole call to a home, including the stages at the home.
     Link,
 }
 
@@ -47,14 +49,14 @@
     }
 }
 
-/// How a pool met the wish for a connection.
+/// How a pool provided a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Handed {
-    /// One was idle.
+    /// An idle connection was used.
     Idle,
-    /// One was opened, and there was room for it.
+    /// A connection was opened within the pool's limit.
     Opened,
-    /// One was opened after another user's was closed.
+    /// A connection was opened after an idle connection of another user was closed for it.
     Replaced,
 }
 
@@ -68,7 +70,7 @@
     }
 }
 
-/// What is counted and timed.
+/// The metrics of the process.
 pub struct Measures {
     registry: Registry,
     statements: IntCounterVec,
@@ -76,7 +78,8 @@
     stage_seconds: HistogramVec,
     connections: IntCounterVec,
     over_quota: IntCounterVec,
-    tenants: RefCell<BTreeSet<TenantName>>,
+    /// Tenants that have a label of their own.
+    labelled_tenants: RefCell<BTreeSet<TenantName>>,
 }
 
 impl Default for Measures {
@@ -113,19 +116,20 @@
                 "Operations refused since their tenant has used up its quota.",
                 &["tenant"],
             ),
-            tenants: RefCell::default(),
+            labelled_tenants: RefCell::default(),
             registry,
         }
     }
 }
 
 impl Measures {
-    /// All that was counted and timed.
+    /// The current values of all metrics.
     pub fn gather(&self) -> Vec<MetricFamily> {
         self.registry.gather()
     }
 
-    /// Counts a statement that was answered, with the failure if it failed.
+    /// Records a statement that was answered: its outcome, `failed` if it failed, and the time since its
+    /// arrival.
     pub fn answered(&self, route: &str, failed: Option<FailureKind>, elapsed: Duration) {
         let outcome = failed.map_or_else(|| "served".to_owned(), |kind| format!("{kind:?}"));
         self.statements.with_label_values(&[route, &outcome]).inc();
@@ -139,17 +143,17 @@
         seconds.observe(elapsed.as_secs_f64());
     }
 
-    /// Counts a connection that a pool handed out.
+    /// Counts a connection that was checked out of a pool.
     pub fn handed_out(&self, group: &str, how: Handed) {
         self.connections
             .with_label_values(&[group, how.name()])
             .inc();
     }
 
-    /// Counts an operation that was refused for its tenant's quota.
+    /// Counts an operation that was refused since its tenant has used up its quota.
     pub fn refused_over_quota(&self, tenant: &TenantName) {
-        let mut tenants = self.tenants.borrow_mut();
-        if tenants.len() < TENANTS_AT_MOST {
+        let mut tenants = self.labelled_tenants.borrow_mut();
+        if tenants.len() < MAX_TENANT_LABELS {
             tenants.insert(tenant.clone());
         }
         let label = match tenants.contains(tenant) {
@@ -160,7 +164,7 @@
     }
 }
 
-/// The label of a statement's tenant in logs.
+/// The label of a statement's tenant in the log; `none` without a tenant.
 pub fn tenant_label(tenant: Option<&TenantName>) -> &str {
     tenant.map_or(NO_TENANT, TenantName::as_str)
 }
@@ -177,7 +181,7 @@
     registered(registry, histogram)
 }
 
-/// Adds a metric to a registry.
+/// Registers a metric and returns it. Panics if the registry has a metric of that name.
 pub fn registered<C: prometheus::core::Collector + Clone + 'static>(
     registry: &Registry,
     metric: C,
--- a/crates/dyketally-gateway/src/ports.rs
+++ b/crates/dyketally-gateway/src/ports.rs
@@ -1,5 +1,6 @@
-//! What the gateway needs from outside: two wire protocols, a configuration source, a database
-//! directory and a way to appoint a primary. An adapter implements them; it decides nothing.
+//! The ports of the gateway: the wire protocols of callers and of databases, the documents in the store
+//! (configuration and databases' announcements), the appointment of primaries, and the readiness protocol.
+//! Adapters implement them; they only translate and make no decisions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,23 +22,23 @@
 pub struct CallerStatement {
     /// The caller's name for this attempt.
     pub id: Bytes,
-    /// The text, which databases get unchanged.
+    /// The statement's text, which databases get unchanged.
     pub text: Bytes,
-    /// What it does.
+    /// What the statement does.
     pub kind: StatementKind,
 }
 
-/// What a caller sends.
+/// A message from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerMessage {
     /// Opens a session.
     Connect {
-        /// The database that is asked for.
+        /// The database name that the caller requests.
         database: String,
-        /// What proves the caller's tenant, where callers need a key.
+        /// The API key that identifies the caller's tenant, if callers need one.
         key: ApiKey,
     },
-    /// Asks for a statement.
+    /// Requests that a statement is run.
     Statement(CallerStatement),
     /// Ends the session.
     Release,
@@ -46,96 +47,98 @@
 /// A part of an answer, to callers and from databases alike.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// One row.
+    /// One row of the result.
     Row(Bytes),
-    /// The statement succeeded; with the database's signature.
+    /// The statement succeeded; contains the signature that the database sent with the answer.
     Complete(Bytes),
     /// The statement failed.
     Failed(Failure),
-    /// The answer is whole.
+    /// The answer is complete.
     Ready {
-        /// The state after the statement.
+        /// The transaction's state after the statement.
         state: TransactionState,
-        /// The end of the database's log, if told.
+        /// The end of the database's log, if the database reports it.
         position: Option<LogPosition>,
     },
 }
 
-/// A statement of the gateway's own.
+/// A statement that the gateway itself sends to a database.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnStatement {
-    /// Opens a transaction that only a primary takes.
+    /// Opens a transaction that only a primary accepts.
     Begin,
-    /// Opens a transaction that doesn't write, on a log that holds `after`.
+    /// Opens a read-only transaction. The database refuses it if its log doesn't contain `after`.
     BeginReadOnly {
-        /// The position that the log must hold.
+        /// The position that the database's log must contain; `None` for any.
         after: Option<LogPosition>,
     },
-    /// Ends the transaction without keeping its writes.
+    /// Rolls back the transaction.
     Rollback,
-    /// Drops the connection's values and prepared statements.
+    /// Clears the connection's session values and prepared statements.
     Reset,
-    /// Sets a value.
+    /// Sets a session value of the connection.
     Set {
-        /// Its name.
+        /// The value's name.
         name: String,
         /// The value.
         value: String,
     },
     /// Prepares a statement.
     Prepare {
-        /// The connection's name for it.
+        /// The connection's name for the statement.
         name: String,
-        /// What is prepared.
+        /// The statement to prepare.
         prepared: PreparedStatement,
     },
-    /// Asks for the database's status.
+    /// Requests the database's status.
     Status,
-    /// Makes a replica receive nothing more until a promotion, for `term`.
+    /// Makes a replica stop receiving the primary's log until a promotion, on behalf of `term`.
     Suspend {
-        /// A term above every one seen.
+        /// A term higher than all terms seen so far.
         term: u64,
     },
     /// Ends a suspension.
     Resume,
-    /// Makes a primary of a term below `term` a replica.
+    /// Makes the database a replica if it is the primary of a term below `term`.
     StepDown {
-        /// The term.
+        /// The lowest term whose primary stays primary.
         term: u64,
     },
 }
 
-/// In whose name a connection to a database is open, for as long as it is.
+/// The user as which a connection to a database is open. It stays the same until the connection is closed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum DatabaseUser {
-    /// The gateway itself, also for callers who need no key.
+    /// The gateway itself, also on behalf of callers that need no key.
     Gateway,
-    /// A tenant, for whose callers alone it is used.
+    /// A tenant. The connection is used only for callers of this tenant.
     Tenant(TenantName),
 }
 
-/// What the gateway sends to a database.
+/// A command that the gateway sends to a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DatabaseCommand {
-    /// Opens the connection.
+    /// Opens the connection's session.
     Open {
         /// The group that the database must belong to.
         group: GroupName,
-        /// In whose name.
+        /// The user of the connection.
         user: DatabaseUser,
-        /// The database that must answer.
+        /// The name of the database that must answer.
         expected: DatabaseName,
     },
-    /// Runs a caller's statement with its text unchanged, on a log that holds `after`.
+    /// Runs a caller's statement with its text unchanged. The database refuses it if its log doesn't contain
+    /// `after`.
     Run {
         /// The caller's name for the attempt.
         id: Bytes,
-        /// The text.
+        /// The statement's text.
         text: Bytes,
-        /// The position that the log must hold.
+        /// The position that the database's log must contain; `None` for any.
         after: Option<LogPosition>,
     },
-    /// Runs a prepared statement under the connection's name for it.
+    /// Runs a prepared statement under the connection's name for it. The database refuses it if its log
+    /// doesn't contain `after`.
     Execute {
         /// The caller's name for the attempt.
         id: Bytes,
@@ -143,57 +146,59 @@
         name: String,
         /// The caller's arguments.
         arguments: String,
-        /// The position that the log must hold.
+        /// The position that the database's log must contain; `None` for any.
         after: Option<LogPosition>,
     },
     /// Runs a statement of the gateway's own.
     Own(OwnStatement),
 }
 
-/// Bytes that aren't valid in a protocol. The connection must be closed.
+/// Received bytes that aren't valid in their protocol. The connection must be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}; close the connection and check that the peer speaks this protocol")]
 pub struct ProtocolError {
-    /// What is wrong.
+    /// What is wrong with the bytes.
     pub reason: String,
 }
 
-/// The protocol of callers.
+/// The wire protocol between callers and the gateway.
 pub trait CallerProtocol {
-    /// Takes one message off the front of `input`; `None` until one is whole.
+    /// Removes one message from the front of `input` and decodes it; `None` while the message is incomplete.
     ///
     /// # Errors
-    /// The bytes are no message.
+    /// The bytes aren't a valid message.
     fn decode(&self, input: &mut BytesMut) -> Result<Option<CallerMessage>, ProtocolError>;
 
-    /// Appends a reply.
+    /// Encodes a reply and appends it to `output`.
     fn encode(&self, reply: &Reply, output: &mut BytesMut);
 }
 
-/// The protocol of databases.
+/// The wire protocol between the gateway and databases.
 pub trait DatabaseProtocol {
-    /// Appends a command.
+    /// Encodes a command and appends it to `output`.
     fn encode(&self, command: &DatabaseCommand, output: &mut BytesMut);
 
-    /// Takes one part of an answer off the front of `input`; `None` until one is whole.
+    /// Removes one part of an answer from the front of `input` and decodes it; `None` while the part is
+    /// incomplete.
     ///
     /// # Errors
-    /// The bytes are no reply.
+    /// The bytes aren't a valid part of an answer.
     fn decode(&self, input: &mut BytesMut) -> Result<Option<Reply>, ProtocolError>;
 
-    /// Reads the row that answers [`OwnStatement::Status`] and its kin.
+    /// Decodes a row with the database's status, the answer to [`OwnStatement::Status`] and similar
+    /// statements; `None` if the row isn't a status.
     fn status(&self, row: &[u8]) -> Option<DatabaseStatus>;
 }
 
-/// Which keys of the store hold what, and how to read them.
+/// The keys and the format of documents in the store.
 pub trait StoredDocuments {
-    /// The prefix of all that operators write, the configuration included.
+    /// The prefix of all keys that operators write, including the configuration.
     fn operators_prefix(&self) -> String;
 
     /// The key of the configuration.
     fn configuration_key(&self) -> String;
 
-    /// The zone whose evacuation is requested for as long as `key` is there.
+    /// The zone whose evacuation is requested while `key` exists; `None` for a key of another kind.
     fn evacuated_zone(&self, key: &str) -> Option<ZoneName>;
 
     /// The prefix of the databases' announcements.
@@ -202,39 +207,40 @@
     /// The prefix under which the gateway keeps its own keys.
     fn own_prefix(&self) -> String;
 
-    /// Reads a configuration.
+    /// Decodes a configuration.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The value isn't a valid configuration; tells what is wrong with it.
     fn configuration(&self, value: &[u8]) -> Result<RouteSet, String>;
 
-    /// Reads an announcement.
+    /// Decodes a database's announcement.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The value isn't a valid announcement; tells what is wrong with it.
     fn announcement(&self, key: &str, value: &[u8]) -> Result<Announcement, String>;
 
-    /// The database whose announcement lies under `key`.
+    /// The database whose announcement is stored under `key`; `None` for a key of another kind.
     fn announced_database(&self, key: &str) -> Option<DatabaseName>;
 }
 
-/// What became of an appointment.
+/// The result of an appointment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Appointment {
-    /// Accepted: the database takes the lead shortly.
+    /// Accepted: the database becomes the primary shortly.
     Accepted,
-    /// Refused for good: the token is too old or the database doesn't run.
+    /// Refused permanently: the token is too old or the database isn't running.
     Refused,
-    /// Refused for now, and nothing was done.
+    /// Refused for now without any effect; the appointment may be repeated later.
     Later,
-    /// No answer: it may still take effect.
+    /// No answer: the appointment may still take effect.
     Unknown,
 }
 
-/// Appoints primaries.
+/// The service that appoints primaries.
 #[async_trait(?Send)]
 pub trait PrimaryControl {
-    /// Appoints `database` as primary of `group`, on behalf of `holder` with its fencing token.
+    /// Appoints `database` as primary of `group`, on behalf of the coordinator `holder` with its fencing
+    /// `token`.
     async fn appoint(
         &self,
         group: &GroupName,
@@ -244,16 +250,16 @@
     ) -> Appointment;
 }
 
-/// Recognises a readiness request by its path.
+/// The HTTP protocol of readiness probes.
 pub trait ReadinessProtocol {
-    /// The response to an HTTP request head.
+    /// The response to an HTTP request with the given head; the path tells whether it is a readiness probe.
     fn respond(&self, head: &str, ready: bool) -> &'static str;
 }
 
-/// A protocol shared by all tasks of the process.
+/// The callers' protocol, shared by all tasks of the process.
 pub type SharedCallerProtocol = Rc<dyn CallerProtocol>;
-/// A protocol shared by all tasks of the process.
+/// The databases' protocol, shared by all tasks of the process.
 pub type SharedDatabaseProtocol = Rc<dyn DatabaseProtocol>;
 
-/// Where a process of the gateway listens for its kin.
+/// The address at which a node of the gateway listens for other nodes.
 pub type PeerAddress = SocketAddr;
--- a/crates/dyketally-gateway/src/settings.rs
+++ b/crates/dyketally-gateway/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of the gateway.
+//! Settings of a gateway process: the fields of the settings file, their defaults, and the checks of their
+//! values.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,23 +12,24 @@
 use dyketally::tenant::KeyPolicy;
 use serde::Deserialize;
 
-/// What `access.key_bound_ms` may be. Below the least even a node that
-/// reaches the store would refuse what it could serve: a change takes up to 1.2 s from the store by way
-/// of a relay, besides the pauses between two confirmations.
+/// Allowed values of `access.key_bound_ms`, in milliseconds. With a lower bound, even a node that reaches the
+/// store would refuse operations with valid keys: a change takes up to 1.2 s from the store through a relay,
+/// in addition to the pauses between two confirmations.
 const KEY_BOUNDS_MS: RangeInclusive<u64> = 2_000..=86_400_000;
 
-/// What `node.link_mbps` may be, in megabits a second: beyond it a figure is in another unit.
+/// Allowed values of `node.link_mbps`, in megabits per second. A value outside is probably in another unit.
 const LINK_MBPS: RangeInclusive<f64> = 0.1..=1_000_000.0;
-/// The least that `bounds.contact_ms` may be: below it nodes would ask the store without a pause.
-const CONTACT_AT_LEAST_MS: u64 = 500;
+/// Minimum of `bounds.contact_ms`, in milliseconds. With a lower value nodes would send requests to the store
+/// without a pause.
+const MIN_CONTACT_MS: u64 = 500;
 
-/// All settings of a process of the gateway. Unknown fields are ignored, since
-/// the file may gain some.
+/// All settings of a process of the gateway. Unknown fields are ignored, so that a file with fields of a later
+/// version can be read.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// This node.
+    /// Name, place and resources of this node.
     pub node: NodeSettings,
-    /// Where it listens.
+    /// The addresses at which this node listens.
     pub listen: ListenSettings,
     /// The region of each zone.
     #[serde(default)]
@@ -36,35 +38,35 @@
     pub store: ServiceSettings,
     /// The service that appoints primaries.
     pub primary_control: ServiceSettings,
-    /// Bounds to keep.
+    /// Time limits and tolerances that the gateway must keep to.
     pub bounds: BoundSettings,
-    /// How reads are shared out.
+    /// How reads are distributed among primaries and replicas.
     #[serde(default)]
     pub reads: ReadSettings,
-    /// Who may do what while the node can't be sure.
+    /// Whether callers' keys are accepted while this node can't confirm them.
     #[serde(default)]
     pub access: AccessSettings,
 }
 
-/// What becomes of operations that need a key while the node is out of touch.
+/// Handling of operations that need a key while the node is out of contact with the store.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct AccessSettings {
-    /// Whether operations are served while their key may have been taken away unnoticed.
+    /// Whether operations run while their key may have been removed without this node having been notified.
     pub when_out_of_touch: OutOfTouch,
-    /// Longest time from a key's removal to the last operation that is served with it where such
-    /// operations are refused, in milliseconds.
+    /// Longest time from a key's removal to the last operation that runs with it, in milliseconds. Applies if
+    /// `when_out_of_touch` is `refuse`.
     pub key_bound_ms: u64,
 }
 
-/// Whether operations are served while their key may have been taken away unnoticed.
+/// Whether operations run while their key may have been removed without this node having been notified.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OutOfTouch {
-    /// They are served by the keys that were known last.
+    /// Operations run if their key is among the last known keys.
     #[default]
     Serve,
-    /// They are refused.
+    /// Operations are refused.
     Refuse,
 }
 
@@ -78,7 +80,7 @@
 }
 
 impl AccessSettings {
-    /// What becomes of operations whose key may have been taken away unnoticed.
+    /// The policy for operations whose key may have been removed without this node having been notified.
     pub fn key_policy(&self) -> KeyPolicy {
         match self.when_out_of_touch {
             OutOfTouch::Serve => KeyPolicy::Serve,
@@ -89,13 +91,13 @@
     }
 }
 
-/// How reads are shared out.
+/// How reads are distributed among primaries and replicas.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct ReadSettings {
-    /// Added to the latency expected of a primary when a read may go to a replica as well. The
-    /// greater it is, the more reads replicas serve, in the end those of other regions too, whose
-    /// traffic may be dear. In milliseconds.
+    /// Milliseconds added to a primary's expected latency when a read may also go to a replica. With a higher
+    /// value replicas get more reads; with a very high value so do replicas in other regions, to which
+    /// traffic may be expensive.
     pub primary_penalty_ms: f64,
 }
 
@@ -107,44 +109,45 @@
     }
 }
 
-/// Who the node is.
+/// Name, place and resources of a node.
 #[derive(Clone, Debug, Deserialize)]
 pub struct NodeSettings {
-    /// Its name, unique among the nodes.
+    /// The node's name, unique among the nodes.
     pub name: NodeName,
-    /// Its zone.
+    /// The node's zone.
     pub zone: ZoneName,
-    /// The share of a processor that it may use: nodes with more keep connections to more
-    /// databases.
+    /// The number of processors that the node may use, for example 0.5. Nodes with a higher value are homes
+    /// of more databases.
     #[serde(default = "whole_processor")]
     pub processor_share: f64,
-    /// Descriptors that it may open; not limited if it isn't given.
+    /// Maximum number of open file descriptors; unlimited if absent.
     pub descriptors: Option<u32>,
-    /// Memory that it may use, in megabytes; not limited if it isn't given.
+    /// Memory that the node may use, in megabytes; unlimited if absent.
     pub memory_mb: Option<u32>,
-    /// Megabits a second that its link carries; those with more watch the store for others first. Nodes
-    /// that don't tell come last.
+    /// Bandwidth of the node's link, in megabits per second. Nodes with a higher value are preferred as relays,
+    /// which watch the store for others; nodes without a value come last.
     pub link_mbps: Option<f64>,
-    /// True when the whole system starts for the first time, so that nobody is served yet and nodes
-    /// may take their time to get to know each other.
+    /// True when the whole system starts for the first time, so that there are no callers yet and nodes may
+    /// take longer to find each other.
     #[serde(default)]
     pub first_start: bool,
-    /// Where other nodes may hear this one, which asks them whom to follow while the store doesn't
-    /// tell which nodes run. Some may be down, or others by now.
+    /// Addresses of nodes that this node asks for relays to follow while it can't read the list of nodes from
+    /// the store. Some of them may be down or may belong to other nodes by now.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// True when the ports of `seeds` are those of something else, and all nodes hear each other at
-    /// the same port.
+    /// True when the ports in `seeds` are used for something else, and each seed listens for other nodes at
+    /// the port of this node's `listen.peers`.
     #[serde(default)]
     pub seeds_at_own_port: bool,
 }
 
+/// Default of `node.processor_share`.
 fn whole_processor() -> f64 {
     1.0
 }
 
 impl NodeSettings {
-    /// What it can hold.
+    /// The limits of the node's descriptors and memory.
     pub fn capacity(&self) -> Capacity {
         Capacity {
             descriptors: self.descriptors,
@@ -152,98 +155,98 @@
         }
     }
 
-    /// How much its link carries.
+    /// The bandwidth class of the node's link.
     pub fn link(&self) -> LinkClass {
         self.link_mbps
             .map_or_else(LinkClass::default, LinkClass::of_megabits)
     }
 
-    /// Its share of the databases that it keeps connections to, relative to other nodes.
+    /// The node's share of the databases of which it is a home, relative to other nodes.
     pub fn weight(&self) -> u16 {
         let weight = self.processor_share * f64::from(NORMAL_WEIGHT);
         weight.round().clamp(1.0, f64::from(u16::MAX)) as u16
     }
 }
 
-/// Where the node listens.
+/// The addresses at which the node listens.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Address for callers (TCP).
     pub callers: SocketAddr,
-    /// For readiness probes.
+    /// Address for readiness probes (HTTP).
     pub readiness: SocketAddr,
-    /// For other nodes (UDP).
+    /// Address for other nodes: UDP for datagrams, TCP for links and subscriptions.
     pub peers: SocketAddr,
-    /// For those who read metrics; nowhere if it isn't given.
+    /// Address at which metrics can be read (HTTP); metrics aren't exposed if it is absent.
     pub metrics: Option<SocketAddr>,
 }
 
-/// A service that is called.
+/// A service that the gateway calls.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServiceSettings {
-    /// Where it listens.
+    /// The address at which the service listens.
     pub address: SocketAddr,
 }
 
-/// Bounds that hold around the gateway.
+/// Time limits and tolerances that the gateway must keep to.
 #[derive(Clone, Debug, Deserialize)]
 pub struct BoundSettings {
-    /// How long a leaving database may get new work, in milliseconds.
+    /// How long a leaving database may still get new requests, in milliseconds.
     pub drain_ms: u64,
-    /// How soon after an outage of the store a node has to act on changes again, in milliseconds.
+    /// Time after the end of a store outage within which a node must act on changes again, in milliseconds.
     #[serde(default = "contact_bound_ms")]
     pub contact_ms: u64,
     /// How long a process may take to stop, in seconds.
     pub stop_s: f64,
-    /// Pause between two announcements of a database, in milliseconds.
+    /// Interval between two announcements of a database, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Within how long nothing more reaches the databases of a zone whose evacuation was requested,
-    /// in milliseconds.
+    /// Time after which no further request reaches the databases of a zone whose evacuation was requested, in
+    /// milliseconds.
     #[serde(default = "evacuation_bound_ms")]
     pub evacuate_ms: u64,
-    /// Times its slow-start rate that a cold database may get in a second.
+    /// Requests that a cold database may get in any second, as a multiple of its slow-start rate.
     #[serde(default = "no_overrun")]
     pub cold_overrun: f64,
-    /// Requests that it may get in a second on top of that.
+    /// Number of requests that a cold database may get in any second beyond `cold_overrun` times its rate.
     #[serde(default)]
     pub cold_slack: u32,
-    /// Operations by which a tenant may exceed its rate and burst in a window.
+    /// Number of operations by which a tenant may exceed its rate and burst within a time window.
     #[serde(default)]
     pub quota_slack: u32,
 }
 
-/// A cold database gets its rate and no more where the settings don't tell.
+/// Default of `bounds.cold_overrun`: a cold database gets at most its slow-start rate.
 fn no_overrun() -> f64 {
     1.0
 }
 
-/// Bound of an evacuation where the settings don't tell: what operators are told to expect.
+/// Default of `bounds.evacuate_ms`, in milliseconds: the time that operators are told to expect.
 fn evacuation_bound_ms() -> u64 {
     5_000
 }
 
-/// The shortest of the bounds that operators have asked for.
+/// Default of `bounds.contact_ms`, in milliseconds: the shortest time that operators have requested.
 fn contact_bound_ms() -> u64 {
     4_000
 }
 
 impl BoundSettings {
-    /// How soon after an outage of the store a node has to act on changes again.
+    /// Time after the end of a store outage within which a node must act on changes again.
     pub fn contact(&self) -> Duration {
         Duration::from_millis(self.contact_ms)
     }
 
-    /// Within how long nothing more reaches the databases of an evacuated zone.
+    /// Time after which no further request reaches the databases of a zone whose evacuation was requested.
     pub fn evacuation(&self) -> Duration {
         Duration::from_millis(self.evacuate_ms)
     }
 
-    /// How long a leaving database may get new work.
+    /// How long a leaving database may still get new requests.
     pub fn drain(&self) -> Duration {
         Duration::from_millis(self.drain_ms)
     }
 
-    /// Pause between two announcements of a database.
+    /// Interval between two announcements of a database.
     pub fn heartbeat(&self) -> Duration {
         Duration::from_millis(self.heartbeat_ms)
     }
@@ -254,31 +257,31 @@
     }
 }
 
-/// What is wrong with a settings file.
+/// Why a settings file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("can't read the settings {path}: {source}; give the path of a readable file")]
     Unreadable {
-        /// Its path.
+        /// The file's path.
         path: String,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// It isn't what is expected.
+    /// The file was read, but a field is missing or has an invalid value.
     #[error("the settings {path} are faulty: {reason}; correct the named field")]
     Faulty {
-        /// Its path.
+        /// The file's path.
         path: String,
-        /// What is wrong.
+        /// What is wrong, in one sentence.
         reason: String,
     },
 }
 
-/// Reads and checks a settings file.
+/// Reads, parses and checks a settings file.
 ///
 /// # Errors
-/// The file can't be read, or a field is missing or wrong.
+/// The file can't be read, or a field is missing or has an invalid value.
 pub fn load(path: &std::path::Path) -> Result<Settings, SettingsError> {
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
@@ -291,10 +294,10 @@
     })
 }
 
-/// Reads and checks settings.
+/// Parses and checks the text of a settings file.
 ///
 /// # Errors
-/// What is wrong, in one sentence.
+/// A field is missing or has an invalid value; tells what is wrong, in one sentence.
 pub fn parse(text: &str) -> Result<Settings, String> {
     let settings: Settings = toml::from_str(text).map_err(|error| error.message().to_owned())?;
     settings.validate()?;
@@ -302,7 +305,7 @@
 }
 
 impl Settings {
-    /// Where a zone is; one that isn't in `zones` has a region without a name.
+    /// The zone with its region; the region's name is empty if the zone isn't in `zones`.
     pub fn locality(&self, zone: &ZoneName) -> Locality {
         let region = self.zones.get(zone).cloned();
         Locality {
@@ -311,7 +314,7 @@
         }
     }
 
-    /// Where the seeds hear other nodes, this one left out.
+    /// The addresses at which the seeds listen for other nodes, without this node's own.
     pub fn seeds(&self) -> Vec<SocketAddr> {
         let own = self.listen.peers;
         let seeds = self.node.seeds.iter().map(|seed| {
@@ -324,7 +327,7 @@
         seeds.filter(|seed| *seed != own).collect()
     }
 
-    /// Where this node is.
+    /// This node's zone and region.
     pub fn own_locality(&self) -> Locality {
         self.locality(&self.node.zone)
     }
@@ -353,9 +356,9 @@
             let (least, most) = LINK_MBPS.into_inner();
             return Err(format!("`node.link_mbps` must be from {least} to {most}"));
         }
-        if self.bounds.contact_ms < CONTACT_AT_LEAST_MS {
+        if self.bounds.contact_ms < MIN_CONTACT_MS {
             return Err(format!(
-                "`bounds.contact_ms` must be at least {CONTACT_AT_LEAST_MS}"
+                "`bounds.contact_ms` must be at least {MIN_CONTACT_MS}"
             ));
         }
         if !(1.0..=100.0).contains(&self.bounds.cold_overrun) {
--- a/crates/dyketally-gateway/tests/layers.rs
+++ b/crates/dyketally-gateway/tests/layers.rs
@@ -1,10 +1,10 @@
-//! The layers of the gateway: a folder imports from those below it only, so that a change of one layer
-//! needs no look at the layers above it.
+//! The layers of the gateway: a layer imports only from itself and from layers below it, so that a change of
+//! the layers above can't break it.
 
 use std::path::{Path, PathBuf};
 
-/// The layers from the ground up; each may import from itself and from those before it. Files at the
-/// crate's root belong to the layer that has their name.
+/// The layers from lowest to highest; each may import from itself and from earlier ones. Modules in the same
+/// list form one layer. Files at the crate's root belong to the layer that contains their module name.
 const LAYERS: &[&[&str]] = &[
     &[
         "settings", "ports", "event", "counters", "measures", "context",
@@ -21,7 +21,8 @@
     &["node", "lib"],
 ];
 
-/// Layers that import nothing from above. A layer that is finished is added here and never taken out.
+/// Modules that import nothing from higher layers, which the test enforces. A module that reaches this state
+/// is added here and never removed.
 const FINISHED: &[&str] = &[
     "settings",
     "ports",
@@ -54,7 +55,7 @@
     }
 }
 
-/// All files of a layer.
+/// All source files of a module at the crate's root.
 fn files_of(layer: &str) -> Vec<PathBuf> {
     let mut files = Vec::new();
     let folder = sources().join(layer);
@@ -68,13 +69,13 @@
     files
 }
 
-/// How far a module at the crate's root is from the ground.
+/// The index in `LAYERS` of a module at the crate's root; `None` if it is in no layer.
 fn height(module: &str) -> Option<usize> {
     LAYERS.iter().position(|layer| layer.contains(&module))
 }
 
 /// The modules at the crate's root that `text` names as `crate::…`, also within a group as in
-/// `use crate::{a, b::C}`; comments count, as links of theirs are imports as well for a reader.
+/// `use crate::{a, b::C}`. Comments count too, since their links also refer to other modules.
 fn modules_named(text: &str) -> Vec<String> {
     let mut modules = Vec::new();
     for (start, _) in text.match_indices("crate::") {
@@ -87,7 +88,7 @@
     modules
 }
 
-/// The first names of the paths that begin here: several in braces.
+/// The first name of the path at the start of `path`, or of each path if it starts with a group in braces.
 fn first_names(path: &str) -> Vec<String> {
     let Some(group) = path.strip_prefix('{') else {
         return vec![leading_name(path)];
@@ -114,7 +115,7 @@
         .collect()
 }
 
-/// How many folders `super::super` leaves at most in a file: none may leave its layer.
+/// True when a path in a file at `depth` modules below the crate's root goes up by `super::` beyond its layer.
 fn leaves_its_layer(text: &str, depth: usize) -> bool {
     text.contains(&"super::".repeat(depth + 1))
 }
--- a/crates/dyketally-gateway/tests/log_events.rs
+++ b/crates/dyketally-gateway/tests/log_events.rs
@@ -1,7 +1,7 @@
-//! Pins the lines of the log: the names of events, their fields and the order of these.
+//! Pins the lines of the log: the names of events, and the names and the order of their fields.
 //!
-//! Programs of operators read these lines by name. What a line looks like stands in
-//! `pins/log_events.jsonl`; a change there is a change of the log, and goes with `docs/logs.md`.
+//! Operators' programs read these lines by name. `pins/log_events.jsonl` contains the expected lines; a change
+//! of that file changes the log's format and requires a change of `docs/logs.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -15,7 +15,7 @@
 use dyketally_gateway::event::{Event, Form, Line};
 use serde_json::Value;
 
-/// Builds one sample of each event; a variant without one doesn't compile.
+/// Builds one sample of each event; doesn't compile while a variant has no sample.
 macro_rules! samples {
     ($counters:ident, $($variant:ident { $($field:tt: $value:expr),* $(,)? })*) => {
         fn samples($counters: &Counters) -> Vec<Event<'_>> {
@@ -103,7 +103,7 @@
     NodeName::from(name)
 }
 
-/// Counters that all differ, so that two that are exchanged show up.
+/// Counters that all have different values, so that the test detects swapped counters.
 fn counters() -> Counters {
     let counters = Counters::new(Arc::new(StoreCalls::default()));
     let count = |counter: &Counter, times: usize| (0..times).for_each(|_| counter.add());
@@ -178,7 +178,7 @@
     assert_eq!(names, r#"["copy","change","difference"]"#);
 }
 
-/// `outcome` of `statement_decided` is the kind's name, and so is the label of the metrics.
+/// The name of a failure kind is the `outcome` of `statement_decided` and the label `outcome` of metrics.
 #[test]
 fn outcomes_keep_their_names() {
     let kinds = [
@@ -210,7 +210,7 @@
     assert_eq!(names.join(" "), pinned);
 }
 
-/// Builds the list of all reasons; one that is missing doesn't compile.
+/// Builds the list of all reasons; doesn't compile while a reason is missing.
 macro_rules! reasons {
     ($($reason:ident $(($kind:expr))?),* $(,)?) => {
         const REASONS: &[Reason] = &[$(Reason::$reason $(($kind))?),*];
@@ -247,7 +247,7 @@
     KeyUncertain,
 }
 
-/// `reason` of `statement_decided`.
+/// Pins the values of the field `reason` of `statement_decided`.
 #[test]
 fn reasons_are_as_pinned() {
     let reasons: Vec<String> = REASONS.iter().map(Reason::to_string).collect();
@@ -264,7 +264,7 @@
     }
 }
 
-/// The kinds of the counter `denied`.
+/// Pins the kinds of the counter `denied`.
 #[test]
 fn denials_keep_their_names() {
     let denials = [
@@ -281,13 +281,13 @@
     assert_eq!(denials.map(Denial::kind).join(" "), pinned);
 }
 
-/// The rows of the page's first table.
+/// The rows of the first table on the page, which lists the events.
 fn event_rows(page: &str) -> impl Iterator<Item = &str> {
     let lines = page.lines().skip_while(|line| !line.starts_with("| `"));
     lines.take_while(|line| line.starts_with("| `"))
 }
 
-/// The names in backquotes that a row of the page gives in its first two columns.
+/// The names in backticks in the first two columns of a row of the page: events, and their fields.
 fn documented(row: &str) -> (Vec<&str>, BTreeSet<&str>) {
     let mut columns = row.split('|').skip(1);
     let mut names = || -> Vec<&str> {
@@ -298,7 +298,7 @@
     (events, names().into_iter().collect())
 }
 
-/// The page names each field, in the row of its event.
+/// Each field is named on the page in the row of its event.
 #[test]
 fn the_page_names_the_fields_of_each_event() {
     let page = file("../../docs/logs.md");
@@ -320,8 +320,8 @@
     }
 }
 
-/// The page names no field that an event doesn't have. Values are named behind their field, in brackets;
-/// the fields of the counters are listed with their kinds, and checked above.
+/// Each field that the page names exists in its event. Values of fields are ignored: they follow their field
+/// in parentheses. Counters are skipped: their fields are listed elsewhere on the page.
 #[test]
 fn the_page_names_no_other_fields() {
     let page = file("../../docs/logs.md");
--- a/crates/dyketally-gateway/tests/logs_page.rs
+++ b/crates/dyketally-gateway/tests/logs_page.rs
@@ -1,4 +1,4 @@
-//! The page on logs names every event and every counter.
+//! Checks that the page on logs names every event and every counter.
 
 use std::path::Path;
 
@@ -18,7 +18,8 @@
     text
 }
 
-/// The variants of the event's enumeration: lines of four blanks and a capital.
+/// The names of all events: the variants of `Event`, which are the lines indented by four spaces that start
+/// with a capital.
 fn events() -> Vec<String> {
     let text = source("src/event.rs");
     let start = text.find("pub enum Event").expect("the events");
@@ -39,7 +40,7 @@
     [own, store].concat()
 }
 
-/// The fields whose lines end with `suffix`.
+/// The names of the fields in `file` whose lines end with `suffix`.
 fn fields(file: &str, suffix: &str) -> Vec<String> {
     let text = source(file);
     let fields = text
--- a/crates/dyketally-gateway/tests/settings.rs
+++ b/crates/dyketally-gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: each field with its name, unit and default, and what is said of faulty ones.
+//! The settings file: the name, unit and default of each field, and the error messages for invalid values.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 };
 use rstest::rstest;
 
-/// Every field, none of them at its default.
+/// A settings file with every field, each at another value than its default.
 const EVERY_FIELD: &str = r#"
 [node]
 name = "front-1"
@@ -55,7 +55,7 @@
 key_bound_ms = 6000
 "#;
 
-/// What no file can leave out.
+/// A settings file with only the required fields.
 const REQUIRED_FIELDS: &str = r#"
 [node]
 name = "front-1"
@@ -78,8 +78,8 @@
 heartbeat_ms = 1200
 "#;
 
-/// All fields with their values, one a line. Each structure is taken apart whole, so a field that comes or goes
-/// doesn't compile before it stands here.
+/// All fields with their values, one per line. Each structure is destructured completely, so that this doesn't
+/// compile until an added or removed field is reflected here.
 fn shown(settings: Settings) -> Vec<String> {
     let Settings {
         node,
@@ -264,7 +264,7 @@
     assert_eq!(shown(settings), expected);
 }
 
-/// Fields and tables that a later version of the file may have are passed over, in every table.
+/// Fields and tables that only a later version knows are ignored, in every table.
 #[test]
 fn unknown_fields_are_ignored() {
     let mut text = String::from("newest = true\n");
@@ -400,7 +400,7 @@
     assert_eq!(fault, expected);
 }
 
-/// Each bound itself is allowed.
+/// The ends of each allowed range are valid values.
 #[rstest]
 #[case("processor_share = 0.25", "processor_share = 1024")]
 #[case("link_mbps = 10.5", "link_mbps = 0.1")]
@@ -439,18 +439,18 @@
     assert_eq!(fault.to_string(), expected);
 }
 
-/// Seeds that name another port are heard at the port of `listen.peers`, this node left out.
+/// With `seeds_at_own_port`, seeds get the port of `listen.peers`; this node's own address is left out.
 #[test]
-fn seeds_are_heard_at_the_own_port_where_the_file_says_so() {
+fn seeds_get_the_own_peer_port_if_configured() {
     let at_own_port = settings::parse(EVERY_FIELD).expect("sound settings");
     let other: std::net::SocketAddr = "10.2.0.6:7440".parse().expect("an address");
     assert_eq!(at_own_port.seeds(), [other]);
     let text = EVERY_FIELD.replace("seeds_at_own_port = true", "seeds_at_own_port = false");
-    let as_told = settings::parse(&text).expect("sound settings");
+    let as_written = settings::parse(&text).expect("sound settings");
     let addresses = ["10.1.0.8:8782", "10.2.0.6:8782"];
     let expected: Vec<std::net::SocketAddr> = addresses
         .iter()
         .map(|it| it.parse().expect("an address"))
         .collect();
-    assert_eq!(as_told.seeds(), expected);
+    assert_eq!(as_written.seeds(), expected);
 }
--- a/crates/dyketally-gateway/tests/wire/datagrams.rs
+++ b/crates/dyketally-gateway/tests/wire/datagrams.rs
@@ -1,4 +1,4 @@
-//! The datagrams between nodes.
+//! Pins the bytes of the datagrams between nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -289,7 +289,7 @@
     check(FIXTURE, &samples());
 }
 
-/// The strings are labels of metrics.
+/// The kinds of messages are pinned because they are labels of metrics.
 #[test]
 fn datagrams_keep_their_kinds() {
     for (label, message) in samples() {
--- a/crates/dyketally-gateway/tests/wire/links.rs
+++ b/crates/dyketally-gateway/tests/wire/links.rs
@@ -1,4 +1,4 @@
-//! The frames of a link to a home: calls and their replies.
+//! Pins the bytes of a link to a home: calls, their replies, and the frames that contain them.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -304,7 +304,7 @@
     ]
 }
 
-/// A refusal and a failed answer of each kind.
+/// Replies that refuse a call, and replies with a failed answer, one of each failure kind.
 fn refusals() -> Vec<Sample<CallReply>> {
     let kinds = [
         ("unknown database", FailureKind::UnknownDatabase),
--- a/crates/dyketally-gateway/tests/wire/main.rs
+++ b/crates/dyketally-gateway/tests/wire/main.rs
@@ -1,6 +1,6 @@
-//! Pins the bytes that nodes send each other. Nodes of different builds run side by side, and both
-//! ends of a connection are built from the same types, so that only a stored copy of the bytes shows
-//! that a change of these types changes the protocol.
+//! Pins the bytes that nodes send each other. Nodes of different builds run side by side. A test that encodes
+//! and decodes with the same types can't detect an incompatible change of these types; a stored copy of the
+//! bytes does.
 
 mod datagrams;
 mod links;
--- a/crates/dyketally-gateway/tests/wire/openings.rs
+++ b/crates/dyketally-gateway/tests/wire/openings.rs
@@ -1,4 +1,4 @@
-//! What a node sends first on a connection to another one, with its length in front.
+//! Pins the bytes of openings, the first messages on connections between nodes.
 
 use dyketally_gateway::fleet::opening::{self, Opening};
 use tokio::io::AsyncReadExt;
@@ -41,7 +41,7 @@
     check_complete(openings::ALL, names);
 }
 
-/// All bytes that arrive on a connection that is opened for `opening`, up to its end.
+/// All bytes that a node sends on a connection that it opens with `opening`.
 async fn sent(opening: &Opening) -> Vec<u8> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
--- a/crates/dyketally-gateway/tests/wire/pin.rs
+++ b/crates/dyketally-gateway/tests/wire/pin.rs
@@ -1,4 +1,5 @@
-//! Compares messages with their stored bytes, which are kept as text: `label: hexadecimal bytes`.
+//! Compares encoded messages with stored bytes. A fixture has one line for each message, `label: bytes`, with
+//! the bytes in hexadecimal.
 
 use std::collections::BTreeSet;
 use std::fmt::{Debug, Write};
@@ -6,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// A message and the label of its line.
+/// The label of a fixture's line and the message that it stands for.
 pub type Sample<T> = (&'static str, T);
 
 /// One line of a fixture.
@@ -38,7 +39,7 @@
         .collect()
 }
 
-/// Checks that the lines of `fixture` are what `encoded` gives, in the same order.
+/// Checks that the lines of `fixture` equal `encoded`, in the same order.
 pub fn check_bytes(fixture: &str, encoded: &[(&str, Vec<u8>)]) {
     let line = |label: &str, bytes: &[u8]| format!("{label}:{}\n", hexadecimal(bytes));
     let pinned: String = read(fixture)
@@ -52,7 +53,7 @@
     assert!(pinned == actual, "pinned:\n{pinned}\nactual:\n{actual}");
 }
 
-/// Checks that each message is encoded as `fixture` has it, and that the bytes there are read as that
+/// Checks that each message is encoded as the bytes in `fixture`, and that these bytes are decoded as the same
 /// message.
 pub fn check<T>(fixture: &str, samples: &[Sample<T>])
 where
