--- a/crates/dyketally-gateway/src/succession/appointment.rs
+++ b/crates/dyketally-gateway/src/succession/appointment.rs
@@ -1,7 +1,7 @@
-//! Appoints a database as primary, with a fencing token that appointed no other one of its group.
+//! Appoints a database as primary, with a fencing token that has appointed no other database of its group.
 //!
 //! Relies on the coordinator's lease for tokens, on the adapter for the appointment, and on confirmations to
-//! see that the database leads.
+//! find out whether the database leads.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,93 +18,96 @@
 use crate::succession::confirm::{Confirmation, Unclear};
 use crate::succession::failover::Failover;
 
-/// How long an appointed database may take to lead: promotions took up to 1.33 s (longest of 17; decision
+/// How long an appointed database may take to lead. Promotions take up to 1.33 s (longest of 17; decision
 /// 0041).
 const TAKE_LEAD_LIMIT: Duration = Duration::from_millis(3_500);
-/// Pause between two looks whether it leads. Not measured.
-const TAKE_LEAD_PAUSE: Duration = Duration::from_millis(60);
-/// The same for a database that is cold: what it is asked comes on top of its rate. Not measured.
-const COLD_PAUSE: Duration = Duration::from_millis(250);
-/// Pause between two looks whether an appointed database that can't be reached is lost: each may open a
-/// connection to it. Not measured.
-const LOSS_LOOK_PAUSE: Duration = Duration::from_millis(400);
-/// Appointments of one successor in a row that get no answer. That they are repeated was measured with late
-/// answers (decision 0041), the number wasn't.
-const APPOINTMENTS_AT_MOST: u32 = 6;
+/// Pause between two checks whether an appointed database leads.
+const LEAD_CHECK_INTERVAL: Duration = Duration::from_millis(60);
+/// Pause between two checks whether an appointed cold database leads: its slow-start rate doesn't limit them,
+/// so they are less frequent.
+const COLD_LEAD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause between two checks whether an unreachable appointed database is lost. Each check may have every polled
+/// node open a connection to it.
+const LOSS_CHECK_INTERVAL: Duration = Duration::from_millis(400);
+/// Most appointments of one successor in a row. Appointments are repeated because their answers may be lost or
+/// late (decision 0041).
+const MAX_APPOINTMENTS: u32 = 6;
 
-/// What became of an appointment.
+/// Outcome of appointing a successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Appointed {
+pub(super) enum AppointmentOutcome {
     /// The database leads.
     Leads,
-    /// It may yet take the lead.
-    Perhaps,
-    /// It won't.
-    Never,
+    /// The database may still take the lead.
+    MayStillLead,
+    /// The database won't take the lead by this appointment.
+    WontLead,
 }
 
 impl Failover {
-    /// Appoints `successor` and waits until it leads. An appointment without an answer is repeated.
+    /// Appoints `successor` and waits until it leads. Repeats an appointment that got no answer.
     pub(super) async fn appoint(
         self: &Rc<Self>,
         group: &GroupName,
         successor: &DatabaseName,
-    ) -> Appointed {
-        let mut otherwise = Appointed::Never;
-        for _ in 0..APPOINTMENTS_AT_MOST {
+    ) -> AppointmentOutcome {
+        let mut outcome = AppointmentOutcome::WontLead;
+        for _ in 0..MAX_APPOINTMENTS {
             let Some(term) = self.token_for(group, successor).await else {
-                self.step(
+                self.log_step(
                     group,
                     "no token",
-                    "the coordinator's lease could not be renewed".to_owned(),
+                    "no fencing token: the coordinator's lease ended or the store did not renew its key".to_owned(),
                 );
-                return otherwise;
+                return outcome;
             };
             let holder = self.cx.settings.node.name.as_str();
             let appointed = self.control.appoint(group, successor, holder, term.token);
             let appointment = appointed.await;
             let detail = format!("{successor} with token {}: {appointment:?}", term.token);
-            self.step(group, "appoint", detail);
+            self.log_step(group, "appoint", detail);
             match appointment {
                 Appointment::Accepted => {
                     return match self.wait_for_lead(group, successor).await {
-                        true => Appointed::Leads,
-                        false => Appointed::Perhaps,
+                        true => AppointmentOutcome::Leads,
+                        false => AppointmentOutcome::MayStillLead,
                     };
                 }
-                Appointment::Unknown => otherwise = Appointed::Perhaps,
+                Appointment::Unknown => outcome = AppointmentOutcome::MayStillLead,
                 Appointment::Refused => {
                     self.appointments.borrow_mut().refused(term.token);
-                    return otherwise;
+                    return outcome;
                 }
-                Appointment::Later => return otherwise,
+                Appointment::Later => return outcome,
             }
         }
-        otherwise
+        outcome
     }
 
-    /// A token with which no other database of the group was appointed.
+    /// A fencing token with which no other database of the group was appointed; `None` if a new one is needed and
+    /// can't be obtained.
     pub(super) async fn token_for(
         &self,
         group: &GroupName,
         successor: &DatabaseName,
     ) -> Option<Term> {
         let coordinator = &self.fleet.coordinator;
-        let held = coordinator.last_term()?;
+        let current = coordinator.last_term()?;
         let token_use = self
             .appointments
             .borrow()
-            .token_use(group, successor, held.token);
-        let unchallenged = coordinator.term().is_some() || self.cx.store_health.is_lost();
-        let term = match (token_use, unchallenged) {
-            (TokenUse::Use, true) => held,
-            _ => self.coordinator.renew_token(held.token).await?,
+            .token_use(group, successor, current.token);
+        let is_only_coordinator = coordinator.term().is_some() || self.cx.store_health.is_lost();
+        let term = match (token_use, is_only_coordinator) {
+            (TokenUse::Use, true) => current,
+            _ => self.coordinator.renew_token(current.token).await?,
         };
         let mut appointments = self.appointments.borrow_mut();
         appointments.appointing(group, successor, term.token);
         Some(term)
     }
 
+    /// Waits until `successor` leads; false when it was lost or didn't lead within [`TAKE_LEAD_LIMIT`].
     async fn wait_for_lead(self: &Rc<Self>, group: &GroupName, successor: &DatabaseName) -> bool {
         let Some(target) = self.member_target(successor) else {
             return false;
@@ -112,58 +115,64 @@
         let began = Instant::now();
         let until = began + TAKE_LEAD_LIMIT;
         let mut replies: BTreeMap<Confirmation, u32> = BTreeMap::new();
-        let mut looked = None;
+        let mut last_poll = None;
         while Instant::now() < until {
             let confirmations = &self.leadership.confirmations;
             let reply = confirmations.confirm_appointed(&target).await;
             *replies.entry(reply).or_default() += 1;
             if reply == Confirmation::Leads {
-                self.fences.lift_all(successor);
+                self.fences.clear_all(successor);
                 confirmations.acted_as_primary(&target);
                 self.peers.broadcast(&PeerMessage::Leads {
                     group: group.clone(),
                     database: successor.clone(),
                 });
-                self.step(group, "done", format!("{successor} leads"));
+                self.log_step(group, "done", format!("{successor} leads"));
                 return true;
             }
-            if self.may_be_lost(&target, reply, looked) {
-                looked = Some(Instant::now());
-                if self.was_lost(&target, began).await {
-                    let detail = format!("{successor} was lost before it led: {replies:?}");
-                    self.step(group, "lost again", detail);
+            if self.is_loss_check_due(&target, reply, last_poll) {
+                last_poll = Some(Instant::now());
+                if self.is_lost(&target, began).await {
+                    let detail = format!(
+                        "{successor} was lost before it took the lead; replies so far: {replies:?}"
+                    );
+                    self.log_step(group, "lost again", detail);
                     return false;
                 }
             }
             tokio::time::sleep(match target.state.pool.is_cold() {
-                true => COLD_PAUSE,
-                false => TAKE_LEAD_PAUSE,
+                true => COLD_LEAD_CHECK_INTERVAL,
+                false => LEAD_CHECK_INTERVAL,
             })
             .await;
         }
-        self.step(
+        self.log_step(
             group,
             "not led",
-            format!("{successor} didn't take the lead: {replies:?}"),
+            format!("{successor} did not take the lead in time; replies: {replies:?}"),
         );
         false
     }
 
-    /// True when it is time to look whether a database is lost that gave `reply`, at which this node looked
-    /// last at `looked`: no connection to it could be opened lately.
-    fn may_be_lost(&self, target: &Target, reply: Confirmation, looked: Option<Instant>) -> bool {
+    /// True when the nodes should be polled whether an appointed database is lost: its last reply is `reply`, no
+    /// connection to it could be opened lately, and the last poll, at `last_poll`, is long enough ago.
+    fn is_loss_check_due(
+        &self,
+        target: &Target,
+        reply: Confirmation,
+        last_poll: Option<Instant>,
+    ) -> bool {
         let silent = [Unclear::NoConnection, Unclear::NoAnswer].map(Confirmation::Unclear);
         silent.contains(&reply)
             && target.state.is_suspended()
-            && looked.is_none_or(|at| at.elapsed() >= LOSS_LOOK_PAUSE)
+            && last_poll.is_none_or(|at| at.elapsed() >= LOSS_CHECK_INTERVAL)
     }
 
-    /// True when a database that was appointed at `appointed` has been lost, by the verdict of the nodes. One
-    /// that ended right after its appointment was waited for in vain for all of [`TAKE_LEAD_LIMIT`], in which
-    /// nobody was appointed in its place.
-    async fn was_lost(&self, target: &Target, appointed: Instant) -> bool {
+    /// True when the nodes agree that a database appointed at `appointed` is lost. Without this check, a database
+    /// that ends right after its appointment delays the next appointment by all of [`TAKE_LEAD_LIMIT`].
+    async fn is_lost(&self, target: &Target, appointed: Instant) -> bool {
         let evidence = self.leadership.suspicions.evidence_of(target).await;
-        evidence == Evidence::Refused && self.verdict(target, appointed).await == Verdict::Lost
+        evidence == Evidence::Refused && self.poll_nodes(target, appointed).await == Verdict::Lost
     }
 
     fn member_target(&self, name: &DatabaseName) -> Option<Target> {
--- a/crates/dyketally-gateway/src/succession/cause.rs
+++ b/crates/dyketally-gateway/src/succession/cause.rs
@@ -1,5 +1,6 @@
-//! Whether the primary of a group should be replaced, and why. Relies on what the databases announced, on the
-//! configuration, and on suspicions.
+//! Decides whether the primary of a group should be replaced, and for which cause.
+//!
+//! Relies on the databases' announcements, on the configuration, and on the suspicions that nodes reported.
 
 use std::time::Duration;
 
@@ -12,38 +13,39 @@
 use super::failover::Failover;
 use crate::database::target::Target;
 
-/// How long a database that can be reached again may take to announce itself. Not measured.
-const LISTED_AGAIN: Duration = Duration::from_secs(2);
-/// How much longer a primary must be cold for a handover to pay, which interrupts writes for 1.30 s
-/// (median of five planned handovers, promotion of 1 s; decision 0041).
-const COLD_WORTH_MOVING: Duration = Duration::from_secs(3);
-/// How long a group may be without a known primary before it is given one. Not measured.
+/// How long a database that is reachable again may take to announce itself in the store.
+const REANNOUNCE_GRACE: Duration = Duration::from_secs(2);
+/// Remaining cold time from which on a primary is handed over to a warm replica. A planned handover
+/// interrupts writes for 1.30 s (median, with promotions of 1 s; decision 0041), so a shorter cold time
+/// doesn't justify it.
+const COLD_TIME_FOR_HANDOVER: Duration = Duration::from_secs(3);
+/// How long a group may be without a known primary before the coordinator appoints one.
 pub(super) const NO_PRIMARY_GRACE: Duration = Duration::from_millis(400);
 
-/// Why a primary is replaced.
+/// Why a primary is replaced. The log's `failover_step` shows the variants by name.
 #[derive(Clone, Debug)]
 pub(super) enum Cause {
-    /// It announced that it leaves, and can still hand over.
+    /// The primary announced that it leaves, and can still hand over.
     Leaves(Target),
-    /// It no longer announces itself, which may be the store's fault or its path to the store's: it may
-    /// lead as before, and should hand over.
+    /// The primary no longer announces itself. The store or its path to the store may have failed, so the
+    /// primary may still lead and is asked to hand over.
     Unlisted(Target),
-    /// Its zone is evacuated, and a database elsewhere can take over.
+    /// The primary's zone is evacuated, and a database elsewhere can take over.
     Evacuated(Target),
-    /// More of what may ask for it is served in these regions.
+    /// More of the group's routes and tenants may be served by a primary in these regions.
     Misplaced(Target, ServingRegions),
-    /// It has just started and bears little load for a while, and a warm replica can take over.
+    /// The primary has just started and stays at its slow-start rate for a while; a warm replica can take over.
     Cold(Target),
-    /// No node reaches it. It was suspected this long ago.
+    /// No node reaches the primary, which was first suspected this long ago.
     Lost(Target, Duration),
-    /// It leads, but a fence stands around it, and nobody is replacing it.
+    /// The primary leads, but a fence is set around it and no coordinator is replacing it.
     Shunned(Target),
     /// No database leads.
     NoPrimary,
 }
 
 impl Cause {
-    /// The primary that is replaced.
+    /// The primary to replace; `None` when there is none, or when it only has to be unfenced.
     pub(super) fn old(&self) -> Option<&Target> {
         match self {
             Self::Leaves(old)
@@ -58,14 +60,14 @@
 }
 
 impl Failover {
-    /// Why the primary of a group should be replaced now; `None` while it shouldn't. Without a lease that
-    /// surely runs a primary is only replaced that is lost: its successor needs no new token while no node
-    /// reaches the store.
+    /// Why the primary of a group should be replaced now; `None` while it shouldn't be. While the
+    /// coordinator's lease may have ended, only a lost primary is replaced: its successor needs no new
+    /// fencing token as long as no node reaches the store.
     pub(super) async fn cause(&self, group: &GroupName) -> Option<Cause> {
         let lease_runs = self.fleet.coordinator.term().is_some();
         let Some((primary, state)) = self.known_primary(group) else {
             return match lease_runs {
-                true => self.without_primary(group).await,
+                true => self.cause_without_primary(group).await,
                 false => None,
             };
         };
@@ -73,17 +75,17 @@
         if let Some(cause) = lease_runs.then(planned).flatten() {
             return Some(cause);
         }
-        let loss = self.loss(group, &primary).await;
-        loss.or_else(|| {
-            self.is_shunned(group, &primary)
+        let confirmed_loss = self.confirmed_loss(group, &primary).await;
+        confirmed_loss.or_else(|| {
+            self.is_fenced_without_successor(group, &primary)
                 .then_some(Cause::Shunned(primary))
         })
     }
 
-    /// True when a fence stands around `primary` though this coordinator replaces it by no other database: a
-    /// former one may have ended before it could say that the database leads again. Nobody suspects a
-    /// primary that answers, so the group would be without one until the fence runs out.
-    fn is_shunned(&self, group: &GroupName, primary: &Target) -> bool {
+    /// True when a fence is set around `primary` although this coordinator has appointed no other database:
+    /// a former coordinator may have ended before it could clear the fence. Since no node suspects a primary
+    /// that answers, the group would otherwise have no usable primary until the fence expires.
+    fn is_fenced_without_successor(&self, group: &GroupName, primary: &Target) -> bool {
         let appointments = self.appointments.borrow();
         let replaced = appointments
             .last(group)
@@ -99,7 +101,7 @@
         Some((self.databases.target(primary, true), primary.state))
     }
 
-    /// Why a primary should hand over; the most urgent reason.
+    /// The most urgent cause for a planned handover from `primary`, if there is one.
     fn planned_cause(
         &self,
         group: &GroupName,
@@ -109,7 +111,7 @@
         let old = || primary.clone();
         match state {
             MemberState::Draining => return Some(Cause::Leaves(old())),
-            MemberState::Gone if !self.may_be_listed_again(group) => {
+            MemberState::Gone if !self.may_reannounce(group) => {
                 return Some(Cause::Unlisted(old()));
             }
             _ => {}
@@ -119,19 +121,19 @@
         {
             return Some(Cause::Evacuated(old()));
         }
-        if let Some(regions) = self.better_regions(group, primary) {
+        if let Some(regions) = self.regions_to_move_to(group, primary) {
             return Some(Cause::Misplaced(old(), regions));
         }
-        self.is_cold_without_need(group, primary)
+        self.should_replace_cold(group, primary)
             .then(|| Cause::Cold(old()))
     }
 
-    /// The loss of a primary that some node suspects, if it is lost by the verdict of the nodes.
-    async fn loss(&self, group: &GroupName, primary: &Target) -> Option<Cause> {
+    /// Polls the nodes on a primary that some node suspects; a cause when they agree that it is lost.
+    async fn confirmed_loss(&self, group: &GroupName, primary: &Target) -> Option<Cause> {
         let key = (group.clone(), primary.name.clone());
         let suspicions = &self.fleet.coordinator.suspicions;
         let since = suspicions.borrow().get(&key).copied()?;
-        match self.verdict(primary, since).await {
+        match self.poll_nodes(primary, since).await {
             Verdict::Alive => {
                 suspicions.borrow_mut().remove(&key);
                 None
@@ -144,35 +146,37 @@
         }
     }
 
-    /// True shortly after a fence couldn't be closed: some node reaches the primary, so a cut may just
-    /// have healed, and the primary announces itself again.
-    fn may_be_listed_again(&self, group: &GroupName) -> bool {
-        let unclosed = self.unclosed.borrow();
-        unclosed
+    /// True for [`REANNOUNCE_GRACE`] after a fence around the primary couldn't be closed. Some node then
+    /// reaches the primary, so a network partition may just have healed, and the primary is about to
+    /// announce itself again.
+    fn may_reannounce(&self, group: &GroupName) -> bool {
+        let unclosed_fences = self.unclosed_fences.borrow();
+        unclosed_fences
             .get(group)
-            .is_some_and(|at| at.elapsed() < LISTED_AGAIN)
+            .is_some_and(|at| at.elapsed() < REANNOUNCE_GRACE)
     }
 
-    /// Where the group should be led from rather than by `primary`, if it is time to move it.
-    fn better_regions(&self, group: &GroupName, primary: &Target) -> Option<ServingRegions> {
+    /// The regions in which the group should be led rather than by `primary`, if its lead may be moved now.
+    fn regions_to_move_to(&self, group: &GroupName, primary: &Target) -> Option<ServingRegions> {
         let regions = self.databases.preferred_regions(primary)?;
         let now = self.cx.now();
         let may_begin = self.moves.borrow().may_begin(group, now);
         may_begin.then_some(regions)
     }
 
-    /// True when `primary` will be cold for so long that a handover to a warm replica pays, and it is time
-    /// to move it. Where regions are bound the place of the primary goes first.
-    fn is_cold_without_need(&self, group: &GroupName, primary: &Target) -> bool {
+    /// True when `primary` stays cold for at least [`COLD_TIME_FOR_HANDOVER`], a warm replica can take over,
+    /// and the lead may be moved now. Where routes or tenants are bound to regions, the region of the primary
+    /// matters more than its warmth.
+    fn should_replace_cold(&self, group: &GroupName, primary: &Target) -> bool {
         let cold_for = self.databases.pacer(&primary.name).announced_cold_for();
-        cold_for >= COLD_WORTH_MOVING
+        cold_for >= COLD_TIME_FOR_HANDOVER
             && !self.cx.routes().binds_regions()
             && self.databases.has_warm_successor(group, &primary.name)
             && self.moves.borrow().may_begin(group, self.cx.now())
     }
 
-    /// Searches for a primary; a cause of its own if none is found in time.
-    async fn without_primary(&self, group: &GroupName) -> Option<Cause> {
+    /// Searches for a primary; [`Cause::NoPrimary`] if none is found within [`NO_PRIMARY_GRACE`].
+    async fn cause_without_primary(&self, group: &GroupName) -> Option<Cause> {
         let until = Instant::now() + NO_PRIMARY_GRACE;
         while Instant::now() < until {
             self.leadership.confirmations.search_primary(group);
@@ -181,7 +185,7 @@
                 return None;
             }
         }
-        // What is missing may only not have announced itself yet.
+        // Before the directory is settled, a primary that runs may just not have announced itself yet.
         self.databases
             .directory_is_settled()
             .then_some(Cause::NoPrimary)
--- a/crates/dyketally-gateway/src/succession/checks.rs
+++ b/crates/dyketally-gateway/src/succession/checks.rs
@@ -1,9 +1,10 @@
 //! Checks whether a database still leads its group.
 //!
-//! A node in contact with the store or most nodes receives the fence before a successor is
-//! appointed. An isolated node asks the group's other databases after each answer of a leader, and counts
-//! it as one only if none of them leads. [`LeadershipChecks`] owns the last check of each group; it relies on
-//! this node's contact and fences.
+//! A node in contact with the store or with most nodes receives the fence around a primary before its
+//! successor is appointed. An isolated node may miss it: after each answer of a leader it asks the group's
+//! other databases, and accepts the answer as a leader's only if none of them leads.
+//!
+//! [`LeadershipChecks`] owns the last check of each group; it relies on this node's contact and fences.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,19 +22,19 @@
 use crate::database::target::Target;
 use crate::ports::OwnStatement;
 
-/// How long a database may take to reply whether it leads. Not measured.
+/// Time limit for a database's reply whether it leads.
 const ROLE_LIMIT: Duration = Duration::from_millis(300);
-/// How long an isolated node counts no database of a group as its leader once the others couldn't be
-/// asked. Not measured.
-const UNCONFIRMED_HOLDS: Duration = Duration::from_millis(700);
+/// How long an isolated node treats no database of a group as leader after a check that couldn't rule out
+/// another leader.
+const UNCONFIRMED_VALIDITY: Duration = Duration::from_millis(700);
 
-/// What an isolated node found when it asked the other databases of a group.
+/// Result of asking the other databases of a group whether they lead.
 #[derive(Clone, Copy, Debug)]
 struct LeadershipCheck {
-    /// When they were asked.
+    /// When the databases were asked.
     asked: Timestamp,
-    /// True when all replied and none leads.
-    unrivalled: bool,
+    /// True when all databases replied and none of them leads.
+    no_other_leads: bool,
 }
 
 /// The checks of one group.
@@ -44,7 +45,7 @@
     done: Notify,
 }
 
-/// Checks whether databases still lead.
+/// Checks whether databases still lead their groups.
 pub struct LeadershipChecks {
     cx: Rc<Context>,
     databases: Rc<Databases>,
@@ -53,7 +54,7 @@
 }
 
 impl LeadershipChecks {
-    /// Checks that ask databases by `statements`.
+    /// Creates the part; databases are asked through `statements`.
     pub fn new(
         cx: Rc<Context>,
         databases: Rc<Databases>,
@@ -72,8 +73,8 @@
         groups.entry(name.clone()).or_default().clone()
     }
 
-    /// True when `target` must not be taken for a leader, whatever it says: it is being replaced, or
-    /// another database is known to lead.
+    /// True when `target` must not be treated as leader, whatever it answers: it is fenced, or another
+    /// database that isn't fenced is known to lead.
     fn is_replaced(&self, target: &Target) -> bool {
         if self.databases.is_fenced(&target.name) {
             return true;
@@ -85,39 +86,42 @@
         })
     }
 
-    /// True when it is clear without asking that an answer of `target` is a leader's.
+    /// True when an answer of `target` counts as a leader's without asking the group's other databases.
     pub fn surely_leads(&self, target: &Target) -> bool {
         !self.is_replaced(target) && self.cx.is_in_touch()
     }
 
-    /// True when an answer of `target` to what was sent at `sent` is a leader's: no other database had taken
-    /// the lead before it arrived.
+    /// True when the answer of `target` to a request sent at `sent` is a leader's: no other database had
+    /// taken the lead before the answer arrived.
     pub async fn is_upheld(self: &Rc<Self>, target: &Target, sent: Timestamp) -> bool {
         if self.is_replaced(target) || self.databases.led_anew_since(sent, &target.name) {
             return false;
         }
-        self.is_unrivalled(target).await
+        self.no_other_leads(target).await
     }
 
-    /// True when no other database of the group can have taken the lead by now: this node would have
-    /// received a fence around `target`, or all others deny it. Whether one stands isn't looked at.
-    pub(super) async fn is_unrivalled(self: &Rc<Self>, target: &Target) -> bool {
-        self.cx.is_in_touch() || self.others_deny_leading(target).await
+    /// True when no other database of the group can have taken the lead by now: either this node is in contact
+    /// and would have received a fence around `target`, or all other databases answer that they don't lead.
+    /// The caller has to check whether such a fence is set.
+    pub(super) async fn no_other_leads(self: &Rc<Self>, target: &Target) -> bool {
+        self.cx.is_in_touch() || self.others_deny_lead(target).await
     }
 
-    /// True while this node is isolated and couldn't make sure lately that no other database leads.
+    /// True while this node is isolated and its last check, made within [`UNCONFIRMED_VALIDITY`], couldn't rule out
+    /// that another database of `group` leads.
     pub fn primary_is_unconfirmed(&self, group: &GroupName) -> bool {
         if self.cx.is_in_touch() {
             return false;
         }
         let last = self.group(group).last.get();
         last.is_some_and(|last| {
-            !last.unrivalled && self.cx.now().saturating_since(last.asked) < UNCONFIRMED_HOLDS
+            !last.no_other_leads
+                && self.cx.now().saturating_since(last.asked) < UNCONFIRMED_VALIDITY
         })
     }
 
-    /// Asks the group's other databases whether they lead; one round for all that wait.
-    async fn others_deny_leading(self: &Rc<Self>, target: &Target) -> bool {
+    /// Asks the group's other databases whether they lead. Callers that wait at the same time share one check.
+    async fn others_deny_lead(self: &Rc<Self>, target: &Target) -> bool {
         let needed = self.cx.now();
         let checks = self.group(&target.group);
         let until = Instant::now() + ROLE_LIMIT * 2;
@@ -126,7 +130,7 @@
             if let Some(last) = checks.last.get()
                 && last.asked >= needed
             {
-                return last.unrivalled;
+                return last.no_other_leads;
             }
             self.start(&checks, target);
             if tokio::time::timeout_at(until, done).await.is_err() {
@@ -144,8 +148,11 @@
         let target = target.clone();
         tokio::task::spawn_local(async move {
             let asked = checks.cx.now();
-            let unrivalled = checks.others_follow(&target).await;
-            let check = LeadershipCheck { asked, unrivalled };
+            let no_other_leads = checks.others_follow(&target).await;
+            let check = LeadershipCheck {
+                asked,
+                no_other_leads,
+            };
             group.last.set(Some(check));
             group.running.set(false);
             group.done.notify_waiters();
--- a/crates/dyketally-gateway/src/succession/confirm.rs
+++ b/crates/dyketally-gateway/src/succession/confirm.rs
@@ -1,8 +1,8 @@
-//! Confirms that a database leads, and searches for the one that does.
+//! Confirms that a database leads its group, and searches a group for its primary.
 //!
-//! [`Confirmations`] owns which groups are being confirmed or searched. A confirmation also shows a
-//! position of the primary's log, by which the freshness of replicas is judged.
-//! Relies on [`LeadershipChecks`] for what an isolated node may believe.
+//! A confirmation also returns a position of the primary's log, against which the freshness of replicas is
+//! checked. [`Confirmations`] owns which groups are being confirmed or searched. It relies on
+//! [`LeadershipChecks`] to rule out another leader while this node is isolated.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 use super::checks::LeadershipChecks;
-use super::own_statements::{OWN_PATIENCE, OwnStatements};
+use super::own_statements::{OWN_QUEUE_TIMEOUT, OwnStatements};
 use crate::context::Context;
 use crate::database::Databases;
 use crate::database::batch::Batch;
@@ -27,56 +27,56 @@
 use crate::fleet::Fleet;
 use crate::ports::OwnStatement;
 
-/// Longest time that a confirmation may take. Not measured.
-const CONFIRM_LIMIT: Duration = OWN_PATIENCE;
-/// Pause between two searches for a primary. Not measured.
+/// Time limit of a confirmation.
+const CONFIRM_LIMIT: Duration = OWN_QUEUE_TIMEOUT;
+/// Pause between two searches of a group for its primary.
 const SEARCH_PAUSE: Duration = Duration::from_millis(200);
-/// Pause before a statement that waits looks again whether a group has a primary. Not measured.
-const SEARCH_INTERVAL: Duration = Duration::from_millis(120);
+/// Longest pause before a waiting statement checks again whether its group has a primary.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(120);
 
-/// What an exchange to confirm that a database leads came to.
+/// Result of a confirmation. The log's `failover_step` shows the variants by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Confirmation {
-    /// It leads.
+    /// The database leads.
     Leads,
-    /// It answered that it doesn't.
+    /// The database answered that it doesn't lead.
     Follows,
-    /// It isn't known.
+    /// Whether the database leads isn't known.
     Unclear(Unclear),
 }
 
 /// Why it isn't known whether a database leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Unclear {
-    /// There was no connection to it in time.
+    /// No connection to the database was obtained in time.
     NoConnection,
-    /// It didn't answer in time, or not in a way that shows it.
+    /// The database didn't answer in time, or its answer doesn't show whether it leads.
     NoAnswer,
-    /// It answered as a leader while a fence stands around it.
+    /// The database answered as a leader while a fence is set around it.
     Fenced,
-    /// It answered as a leader, and this node, which is isolated, can't rule out that another one leads.
+    /// The database answered as a leader, but this isolated node can't rule out that another database leads.
     Rivalled,
 }
 
-/// Whether a fence around a database denies that it leads.
+/// Whether a fence around the database prevents its confirmation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fence {
-    /// It does.
-    Counts,
-    /// It was put up before the database took the lead.
-    IsOver,
+enum FenceHandling {
+    /// A fenced database isn't confirmed.
+    Respect,
+    /// The fence was set before the database was appointed anew, so it is ignored.
+    Ignore,
 }
 
-/// What runs for one group.
+/// The searches and confirmations that run for one group.
 #[derive(Debug, Default)]
 struct GroupConfirmation {
-    /// True while the group is searched for a primary.
+    /// True while the group is searched for its primary, and during the pause after the search.
     searching: Cell<bool>,
-    /// When the running confirmation was sent, if one runs.
+    /// When the running confirmation was started; `None` while none runs.
     confirming: Cell<Option<Timestamp>>,
 }
 
-/// Confirms that databases lead.
+/// Confirms that databases lead, and searches for primaries.
 pub struct Confirmations {
     cx: Rc<Context>,
     databases: Rc<Databases>,
@@ -87,7 +87,7 @@
 }
 
 impl Confirmations {
-    /// Confirmations by `statements`; `checks` judges what an isolated node may believe.
+    /// Creates the part. Confirmations run through `statements`; `checks` rules out other leaders.
     pub fn new(
         databases: Rc<Databases>,
         fleet: Rc<Fleet>,
@@ -109,7 +109,8 @@
         groups.entry(name.clone()).or_default().clone()
     }
 
-    /// Makes sure that an observation covers `covered`, if the primary can be asked in time.
+    /// A log position of the primary that was observed at `covered` or later. Confirms the primary if there is no
+    /// such observation yet; `None` if none is made by `until` or within [`CONFIRM_LIMIT`].
     pub async fn ensure_observation(
         self: &Rc<Self>,
         group: &GroupName,
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Confirms the primary of a group in the background, unless one that was sent since `covered` runs.
+    /// Confirms the primary of a group in the background, unless a confirmation started since `covered` runs.
     fn start(self: &Rc<Self>, group: &GroupName, covered: Timestamp) {
         let running = self.group(group);
         if running.confirming.get().is_some_and(|sent| sent >= covered) {
@@ -157,36 +158,37 @@
         });
     }
 
-    /// Asks a database to open and drop a transaction that only a primary accepts.
+    /// Has a database open and roll back a transaction that only a primary accepts.
     pub async fn confirm_leader(&self, target: &Target) -> Confirmation {
-        self.confirm(target, Fence::Counts).await
+        self.confirm(target, FenceHandling::Respect).await
     }
 
-    /// Asks the same of a database whose appointment, with the newest fencing token, was accepted. A fence
-    /// that still stands around it is from its own loss shortly before. It says nothing about the new lead:
-    /// without this, a group whose databases were lost and came back in turn was without a primary for as
-    /// long as that fence stands (8 s).
+    /// Confirms a database whose appointment, with the newest fencing token, was accepted. A fence that is still
+    /// set around it was set when the database was lost shortly before, and doesn't concern its new lead.
+    /// If that fence counted, a group whose databases are lost and return in turn would have no primary until
+    /// the fence expires, 8 s after it was set.
     pub async fn confirm_appointed(&self, target: &Target) -> Confirmation {
         match target.state.pool.is_cold() {
             true => self.confirm_by_status(target).await,
-            false => self.confirm(target, Fence::IsOver).await,
+            false => self.confirm(target, FenceHandling::Ignore).await,
         }
     }
 
-    /// Asks a cold database for its status. Like all steps of a succession that needs no part of its rate, for
-    /// which callers compete, and it costs one request in place of two.
+    /// Confirms a cold database by a status request. Status requests, like all steps of a failover, don't
+    /// count against the slow-start rate for which callers' statements compete, and this takes one request
+    /// in place of two.
     async fn confirm_by_status(&self, target: &Target) -> Confirmation {
         let sent = self.cx.now();
-        let asked = self
+        let request = self
             .statements
             .ask_status(target, OwnStatement::Status, CONFIRM_LIMIT);
-        let Some(status) = asked.await else {
+        let Some(status) = request.await else {
             return Confirmation::Unclear(Unclear::NoAnswer);
         };
         if !status.leads {
             return Confirmation::Follows;
         }
-        if !self.checks.is_unrivalled(target).await {
+        if !self.checks.no_other_leads(target).await {
             return Confirmation::Unclear(Unclear::Rivalled);
         }
         let position = Some(status.received);
@@ -194,21 +196,22 @@
         Confirmation::Leads
     }
 
-    async fn confirm(&self, target: &Target, fence: Fence) -> Confirmation {
+    async fn confirm(&self, target: &Target, fence: FenceHandling) -> Confirmation {
         let until = Instant::now() + CONFIRM_LIMIT;
-        let exchange = self.exchange_as_leader(target, fence, until);
+        let exchange = self.run_confirmation(target, fence, until);
         match tokio::time::timeout_at(until, exchange).await {
             Ok(Ok(confirmation)) => confirmation,
             Ok(Err(unclear)) => Confirmation::Unclear(unclear),
-            // Dropped: the caller treats it like a database that didn't answer.
+            // Dropped: a confirmation that exceeds its time limit counts as a missing answer.
             Err(_) => Confirmation::Unclear(Unclear::NoAnswer),
         }
     }
 
-    async fn exchange_as_leader(
+    /// Runs the two statements of a confirmation, and records the observed position if the database leads.
+    async fn run_confirmation(
         &self,
         target: &Target,
-        fence: Fence,
+        fence: FenceHandling,
         until: Instant,
     ) -> Result<Confirmation, Unclear> {
         let work = Work::Statements;
@@ -224,10 +227,10 @@
         }
         match &answers[0].end {
             Ok(_) if answers[1].end.is_ok() && ended => {
-                if fence == Fence::Counts && self.databases.is_fenced(&target.name) {
+                if fence == FenceHandling::Respect && self.databases.is_fenced(&target.name) {
                     return Err(Unclear::Fenced);
                 }
-                if !self.checks.is_unrivalled(target).await {
+                if !self.checks.no_other_leads(target).await {
                     return Err(Unclear::Rivalled);
                 }
                 let position = answers[0].position;
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Looks for the database that leads `group` among all of them, in the background.
+    /// Asks all ready databases of `group` in the background whether they lead, and records the one that does.
     pub fn search_primary(self: &Rc<Self>, group: &GroupName) {
         let running = self.group(group);
         if running.searching.replace(true) {
@@ -249,8 +252,8 @@
         let group = group.clone();
         tokio::task::spawn_local(async move {
             let targets = confirmations.search_targets(&group);
-            let asked = targets.iter().map(|it| confirmations.confirm_leader(it));
-            let replies = futures::future::join_all(asked).await;
+            let requests = targets.iter().map(|it| confirmations.confirm_leader(it));
+            let replies = futures::future::join_all(requests).await;
             for (target, reply) in targets.iter().zip(replies) {
                 if reply == Confirmation::Leads {
                     confirmations.acted_as_primary(target);
@@ -271,11 +274,11 @@
             .collect()
     }
 
-    /// The database that leads `group`, as soon as one is known that may get work which `regions` bind, by
-    /// `until` at the latest.
+    /// Waits until a primary of `group` is known that may get statements bound to `regions`, at most until
+    /// `until`.
     ///
     /// # Errors
-    /// Why there is none; at once if waiting won't help.
+    /// Why there is no such primary. Returned without waiting if it won't change soon.
     pub async fn primary_by(
         self: &Rc<Self>,
         group: &GroupName,
@@ -291,12 +294,12 @@
                 return Err(denial);
             }
             self.search_primary(group);
-            let pause = (Instant::now() + SEARCH_INTERVAL).min(until);
+            let pause = (Instant::now() + RECHECK_INTERVAL).min(until);
             self.cx.changes.next(pause).await;
         }
     }
 
-    /// Records that a database acts as primary.
+    /// Records that a database acts as primary, and clears this node's fence around it.
     pub fn acted_as_primary(&self, target: &Target) {
         let mut directory = self.databases.directory.borrow_mut();
         directory.acted_as_primary(&target.name);
@@ -304,7 +307,7 @@
         self.databases.lift_fence(&target.name);
     }
 
-    /// Records that a database refused to act as primary.
+    /// Records that a database refused to act as primary, and wakes waiting statements and the coordinator.
     pub fn refused_as_primary(&self, target: &Target) {
         let mut directory = self.databases.directory.borrow_mut();
         directory.refused_as_primary(&target.name);
--- a/crates/dyketally-gateway/src/succession/contact.rs
+++ b/crates/dyketally-gateway/src/succession/contact.rs
@@ -1,6 +1,8 @@
-//! Keeps this node in contact with most of the other nodes while the store doesn't reply: it then still
-//! receives the fence of a primary that is replaced. Owns when it asked last; relies on the datagrams between
-//! nodes, and leaves the asking to a relay where it follows one.
+//! Keeps this node in contact with more than half of the nodes while the store doesn't reply, so that it
+//! still receives the fence around a primary that is being replaced.
+//!
+//! Owns the time of the last request. Relies on the datagrams between nodes, and on the relay that this node
+//! follows, if any, which sends the requests in its place.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,12 +18,12 @@
 use crate::fleet::peer::Peers;
 use crate::store::feed::Feed;
 
-/// How long replies of other nodes are waited for: they reply within 50 ms between regions. Not measured.
-const REPLIES_LIMIT: Duration = Duration::from_millis(300);
-/// Pause before the contact is looked at again when there is nothing to ask. Not measured.
-const REST: Duration = Duration::from_millis(300);
+/// How long replies of other nodes are awaited; between regions they take up to 50 ms.
+const REPLY_LIMIT: Duration = Duration::from_millis(300);
+/// Pause before the contact is checked again when no request is due.
+const IDLE_PAUSE: Duration = Duration::from_millis(300);
 
-/// Asks the other nodes for signs of life.
+/// Requests signs of life from the other nodes.
 pub struct ContactKeeper {
     cx: Rc<Context>,
     fleet: Rc<Fleet>,
@@ -40,29 +42,30 @@
         })
     }
 
-    /// Asks the other nodes for a sign of life while the store doesn't reply, forever. Nodes that follow a
-    /// relay leave that to it: all nodes asking each other would grow with the square of the fleet.
+    /// Requests signs of life from the other nodes whenever the store doesn't reply, forever. Nodes that
+    /// follow a relay leave that to it: if every node asked every other one, the number of messages would
+    /// grow with the square of the fleet.
     pub async fn run(self: Rc<Self>) {
-        let mut last_asked = None;
-        let mut was_in_touch = false;
+        let mut last_request = None;
+        let mut was_in_contact = false;
         loop {
-            let in_touch = self.cx.is_in_touch();
-            if in_touch != std::mem::replace(&mut was_in_touch, in_touch) {
-                self.cx.events.write(match in_touch {
+            let in_contact = self.cx.is_in_touch();
+            if in_contact != std::mem::replace(&mut was_in_contact, in_contact) {
+                self.cx.events.write(match in_contact {
                     true => &Event::InTouch,
                     false => &Event::Isolated,
                 });
             }
-            let due = self.cx.contact.borrow_mut().ask_nodes_at(last_asked);
+            let due = self.cx.contact.borrow_mut().ask_nodes_at(last_request);
             let due = due.filter(|_| !self.relies_on_relay());
             let now = self.cx.now();
             match due {
                 Some(due) if due <= now => {
-                    last_asked = Some(now);
-                    tokio::task::spawn_local(self.clone().ask_nodes(now));
+                    last_request = Some(now);
+                    tokio::task::spawn_local(self.clone().request_signs_of_life(now));
                 }
                 Some(due) => tokio::time::sleep(due.saturating_since(now)).await,
-                None => tokio::time::sleep(REST).await,
+                None => tokio::time::sleep(IDLE_PAUSE).await,
             }
         }
     }
@@ -71,7 +74,7 @@
         self.feed.has_relay() && self.fleet.coordinator.last_term().is_none()
     }
 
-    async fn ask_nodes(self: Rc<Self>, asked: Timestamp) {
+    async fn request_signs_of_life(self: Rc<Self>, asked: Timestamp) {
         let own = &self.cx.settings.node.name;
         let nodes = self.fleet.membership.electorate(own);
         let mut replies = self.peers.collect_signs_of_life();
@@ -81,7 +84,7 @@
         for node in &nodes {
             self.peers.send(*node, &message);
         }
-        let until = Instant::now() + REPLIES_LIMIT;
+        let until = Instant::now() + REPLY_LIMIT;
         let mut replied = Vec::new();
         while !is_majority(replied.len(), nodes.len() + 1) {
             match tokio::time::timeout_at(until, replies.receiver.recv()).await {
--- a/crates/dyketally-gateway/src/succession/coordinator.rs
+++ b/crates/dyketally-gateway/src/succession/coordinator.rs
@@ -1,7 +1,8 @@
-//! Campaigns for the lease of the failover coordinator and keeps it: one node at a time replaces primaries.
+//! Elects the failover coordinator, the one node that replaces primaries: campaigns for its lease in the
+//! store, and renews the lease while this node holds it.
 //!
-//! [`CoordinatorKeeper`] relies on the store for the lease, and records in
-//! [`CoordinatorState`](crate::fleet::coordinator::CoordinatorState) who holds it.
+//! [`CoordinatorKeeper`] relies on the store for the lease, and records the holder in
+//! [`CoordinatorState`](crate::fleet::coordinator::CoordinatorState).
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,31 +24,32 @@
 use crate::fleet::peer::Peers;
 use crate::store::parts::StoreParts;
 
-/// Time after which the lease of a coordinator that is lost ends. Set by runs that lose coordinator and
-/// primary together, with 4 s and with 2.6 s (decision 0041).
-const LEASE: Duration = Duration::from_millis(2_600);
-/// Pause between two renewals of the lease. Not measured.
-const RENEWAL: Duration = Duration::from_millis(800);
-/// Pause before a renewal that failed is tried again. Not measured.
+/// Time to live of the coordinator's lease. When coordinator and primary are lost together, another node can
+/// become coordinator and replace the primary only after this lease has ended; decision 0041 has runs of
+/// this failure with 4 s and with 2.6 s.
+const LEASE_TIME_TO_LIVE: Duration = Duration::from_millis(2_600);
+/// Pause between two renewals of the lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(800);
+/// Pause before a failed renewal is retried.
 const RENEWAL_RETRY: Duration = Duration::from_millis(150);
-/// By so much the contact of a renewal of this lease ends sooner than that of another one: before the
-/// lease does. Not measured.
-const CONTACT_SHORTER: Duration = Duration::from_millis(600);
-/// How long each node gives those ranked before it to take a lease that is free: time for a lease, a
-/// write and the announcement. Not measured.
+/// How much earlier the contact from a renewal of this lease ends than the contact from other calls to the
+/// store: it has to end before the lease does.
+const CONTACT_REDUCTION: Duration = Duration::from_millis(600);
+/// Head start before this node's campaign, for each node that ranks before it: enough for that node to
+/// obtain a lease, write the key and announce itself.
 const CAMPAIGN_HEAD_START: Duration = Duration::from_millis(40);
-/// Longest pause before this node tries. Not measured.
-const LONGEST_CAMPAIGN_DELAY: Duration = Duration::from_millis(1_500);
-/// For so long after its start a node doesn't campaign: it has to get to know the others. Not measured.
-const STARTING: Duration = Duration::from_millis(1_500);
-/// Pause before a campaign that failed is repeated if no node is known to have won. Not measured.
+/// Longest total head start before this node's campaign.
+const MAX_CAMPAIGN_DELAY: Duration = Duration::from_millis(1_500);
+/// How long a node doesn't campaign after its start, so that it knows the other nodes first.
+const CAMPAIGN_DELAY_AFTER_START: Duration = Duration::from_millis(1_500);
+/// Pause before a failed campaign is repeated if no node is known to have won.
 const CAMPAIGN_RETRY: Duration = Duration::from_secs(1);
 
-/// Keeps this node the coordinator while it is, and campaigns when there is none.
+/// Campaigns while there is no coordinator, and renews the lease while this node is the coordinator.
 pub struct CoordinatorKeeper {
     parts: StoreParts,
     peers: Rc<Peers>,
-    /// Held while the token is renewed: of two renewals at one time the store refuses one.
+    /// Held while the fencing token is renewed: the store would refuse one of two concurrent renewals.
     renewing: Mutex<()>,
 }
 
@@ -65,7 +67,7 @@
         &self.parts.fleet.coordinator
     }
 
-    /// Becomes the coordinator whenever there is none, and stays it, until the process stops.
+    /// Campaigns whenever there is no coordinator and holds the lease once won, until the process stops.
     pub async fn run(self: Rc<Self>) {
         loop {
             tokio::select! {
@@ -73,17 +75,17 @@
                 () = self.parts.cx.stop.entered(StopPhase::Leaving) => return,
             }
             if let Some(lease) = self.campaign().await {
-                self.hold(lease).await;
+                self.hold_lease(lease).await;
                 self.state().vacant.notify_one();
             }
         }
     }
 
-    /// Tries to become the coordinator; the lease if this node is it now.
+    /// Tries to become the coordinator; returns the lease if this node has won.
     async fn campaign(&self) -> Option<LeaseId> {
         match self.state().record() {
             Some(record) if record.node == *self.parts.keys.record() => {
-                self.end_former(record).await;
+                self.revoke_former_lease(record).await;
                 return None;
             }
             Some(_) => return None,
@@ -94,26 +96,27 @@
             return None;
         }
         if self.state().announced().is_some() {
-            self.try_again_later();
+            self.recheck_vacancy_later();
             return None;
         }
-        let asked = Instant::now();
-        let Ok(lease) = self.parts.store.grant_lease(LEASE).await else {
-            self.try_again_later();
+        let requested = Instant::now();
+        let Ok(lease) = self.parts.store.grant_lease(LEASE_TIME_TO_LIVE).await else {
+            self.recheck_vacancy_later();
             return None;
         };
         let free = Condition::Absent {
             key: self.parts.keys.coordinator(),
         };
         let Some(token) = self.put_key(free, lease.id).await else {
-            self.learn_coordinator().await;
-            self.try_again_later();
+            self.read_coordinator().await;
+            self.recheck_vacancy_later();
             return None;
         };
-        self.begin_term(lease.id, token, asked + lease.time_to_live);
+        self.begin_term(lease.id, token, requested + lease.time_to_live);
         Some(lease.id)
     }
 
+    /// Records and announces that this node is the coordinator, with a lease that ends at `until`.
     fn begin_term(&self, lease: LeaseId, token: u64, until: Instant) {
         let record = self.parts.keys.record().clone();
         let state = self.state();
@@ -129,15 +132,15 @@
         state.attention.notify_one();
     }
 
-    /// Gives nodes that are ranked before this one time to win: each campaign costs calls to the store.
+    /// Gives the nodes that rank before this one time to win, since each campaign costs calls to the store.
     async fn pause_before_campaign(&self) {
         let running_for = self.parts.cx.now().saturating_since(Timestamp::ZERO);
-        tokio::time::sleep(STARTING.saturating_sub(running_for)).await;
+        tokio::time::sleep(CAMPAIGN_DELAY_AFTER_START.saturating_sub(running_for)).await;
         let pause = CAMPAIGN_HEAD_START.saturating_mul(self.rank());
-        tokio::time::sleep(pause.min(LONGEST_CAMPAIGN_DELAY)).await;
+        tokio::time::sleep(pause.min(MAX_CAMPAIGN_DELAY)).await;
     }
 
-    /// How many nodes should campaign before this one.
+    /// How many nodes rank before this one in the order of campaigns.
     fn rank(&self) -> u32 {
         let nodes = self.parts.fleet.membership.nodes();
         let names: Vec<&NodeName> = nodes.keys().collect();
@@ -148,20 +151,20 @@
         rank.map_or(u32::MAX, |rank| u32::try_from(rank).unwrap_or(u32::MAX))
     }
 
-    /// Ends the lease of an earlier process of this node, so that a coordinator can be found at once.
-    async fn end_former(&self, record: CoordinatorRecord) {
+    /// Revokes the lease of an earlier process of this node, so that the nodes can elect a coordinator at once.
+    async fn revoke_former_lease(&self, record: CoordinatorRecord) {
         let Some(lease) = record.lease else {
             return;
         };
         if self.parts.store.revoke_lease(lease).await.is_err() {
-            self.try_again_later();
+            self.recheck_vacancy_later();
         }
     }
 
-    /// Reads who the coordinator is, after a campaign that failed: what this node knows may lack the key,
-    /// and each change of it would make the node campaign again.
-    async fn learn_coordinator(&self) {
-        // Dropped: the campaign is repeated, and what the store lacks in health its renewals show.
+    /// Reads the coordinator's key after a failed campaign. While this node's copy of the store lacks the
+    /// key, it would campaign again at each change of its copy.
+    async fn read_coordinator(&self) {
+        // Dropped: the campaign is repeated, and renewals of leases record the store's failure.
         let Ok(entry) = self.read_key().await else {
             return;
         };
@@ -170,8 +173,9 @@
         }
     }
 
-    /// Campaigns again if no node is known to be the coordinator by then.
-    fn try_again_later(&self) {
+    /// Notifies [`CoordinatorState::vacant`] after [`CAMPAIGN_RETRY`]: this node then campaigns again, or checks
+    /// its key if it is the coordinator.
+    fn recheck_vacancy_later(&self) {
         let fleet = self.parts.fleet.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(CAMPAIGN_RETRY).await;
@@ -179,18 +183,18 @@
         });
     }
 
-    /// Keeps this node the coordinator until its lease is lost or the process stops.
-    async fn hold(&self, lease: LeaseId) {
-        let mut next = Instant::now() + RENEWAL;
+    /// Renews the lease until this node is no longer the coordinator or the process stops.
+    async fn hold_lease(&self, lease: LeaseId) {
+        let mut next = Instant::now() + RENEWAL_INTERVAL;
         while self.state().last_term().is_some() {
             tokio::select! {
                 () = tokio::time::sleep_until(next) => match self.renew(lease).await {
-                    Ok(()) => next = Instant::now() + RENEWAL,
+                    Ok(()) => next = Instant::now() + RENEWAL_INTERVAL,
                     Err(StoreError::LeaseLapsed { .. }) => self.resign("the lease ended"),
                     // Dropped: `StoreHealth` records it, and the lease is renewed until it has lapsed.
                     Err(_) => next = Instant::now() + RENEWAL_RETRY,
                 },
-                () = self.state().vacant.notified() => self.check(lease).await,
+                () = self.state().vacant.notified() => self.resign_if_replaced(lease).await,
                 () = self.parts.cx.stop.entered(StopPhase::Leaving) => {
                     self.resign("the process stops");
                     // Dropped: the process ends, and the lease runs out by itself.
@@ -200,32 +204,37 @@
         }
     }
 
-    /// Renews the lease. The contact that follows ends before the lease can lapse, so that the next
-    /// coordinator knows that its predecessor is out of touch. Like any node's calls, renewals count as
-    /// contact only while the watches stand: in the fuzz of fences a coordinator that had missed a fence
-    /// was cut off again before its watch told of it, and its renewals alone made it trust the primary.
+    /// Renews the lease. The contact with the store that a renewal gives ends before the lease can lapse, so
+    /// that the next coordinator knows that its predecessor is out of contact.
+    ///
+    /// As for any node, calls count as contact only while the watches of the store are active. Without this
+    /// rule, the fuzz test of fences showed a coordinator that had missed a fence, renewed its lease, and was
+    /// cut off again before its watch reported the fence: it went on trusting the primary.
     async fn renew(&self, lease: LeaseId) -> Result<(), StoreError> {
-        let asked = Instant::now();
-        let asked_at = self.parts.cx.now();
+        let requested = Instant::now();
+        let requested_at = self.parts.cx.now();
         let time_to_live = self
             .parts
             .cx
             .store_health
             .renew(&*self.parts.store, lease)
             .await?;
-        self.parts.cx.contact.store_replied_to_this_node(asked_at);
+        self.parts
+            .cx
+            .contact
+            .store_replied_to_this_node(requested_at);
         if self.parts.feed.is_current() {
             let contact = &self.parts.cx.contact;
-            contact.store_replied(asked_at - CONTACT_SHORTER);
+            contact.store_replied(requested_at - CONTACT_REDUCTION);
         }
-        let until = asked + time_to_live;
+        let until = requested + time_to_live;
         self.state().set_lease(HeldLease { id: lease, until });
         Ok(())
     }
 
-    /// Finds out whether this node is still the coordinator when the key seems to be gone, or to be
-    /// another's: what is known may be older than the key.
-    async fn check(&self, lease: LeaseId) {
+    /// Reads the coordinator's key when this node's copy of the store lacks it or names another node, and
+    /// resigns if it isn't this node's any more. The copy may be older than the key.
+    async fn resign_if_replaced(&self, lease: LeaseId) {
         match self.read_key().await {
             Ok(Some(entry)) if entry.lease == Some(lease) => {
                 self.state().set_record(CoordinatorRecord {
@@ -234,12 +243,12 @@
                 });
             }
             Ok(_) => self.resign("the coordinator's key is gone"),
-            // Dropped: the check is repeated.
-            Err(_) => self.try_again_later(),
+            // Dropped: the check is repeated after a pause.
+            Err(_) => self.recheck_vacancy_later(),
         }
     }
 
-    /// Puts the coordinator's key under `condition`; the revision of the change if it took effect.
+    /// Writes the coordinator's key if `condition` holds; returns the store's revision of the change.
     async fn put_key(&self, condition: Condition, lease: LeaseId) -> Option<u64> {
         let request = TransactionRequest {
             conditions: vec![condition],
@@ -253,7 +262,7 @@
                 let entry = self.read_key().await.ok()??;
                 (entry.lease == Some(lease)).then_some(entry.modified.0)
             }
-            // Dropped: the caller campaigns again, or its step of the failover fails and is logged.
+            // Dropped: the caller campaigns again, or the failover that needs a token fails and is logged.
             Err(_) => None,
         }
     }
@@ -264,9 +273,9 @@
         Ok(reply.entries.into_iter().next())
     }
 
-    /// Gives this node's term a token greater than `used`, so that earlier appointments which are still
-    /// under way are refused. Groups that ask at the same time share one. `None` when this node isn't the
-    /// coordinator any more or the store doesn't reply.
+    /// Gives this node's term a fencing token greater than `used`, so that earlier appointments which are
+    /// still in flight are refused. Groups that need a token at the same time share one. `None` when this
+    /// node isn't the coordinator any more or the store doesn't reply.
     pub async fn renew_token(&self, used: u64) -> Option<Term> {
         let _renewing = self.renewing.lock().await;
         let term = self.state().term()?;
--- a/crates/dyketally-gateway/src/succession/failover.rs
+++ b/crates/dyketally-gateway/src/succession/failover.rs
@@ -1,7 +1,7 @@
-//! Looks after the primaries of all groups, on the failover coordinator.
+//! Checks the primaries of all groups and replaces them where needed, on the failover coordinator.
 //!
-//! [`Failover`] owns which groups are being looked at and when primaries may be moved without need. Its steps
-//! stand in `cause`, `poll`, `survey`, `replacement`, `handover` and `appointment`.
+//! [`Failover`] owns which groups are being checked, and when primaries may be moved for preference alone. The
+//! steps of a failover are in `cause`, `poll`, `survey`, `replacement`, `handover` and `appointment`.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -23,9 +23,9 @@
 use crate::succession::coordinator::CoordinatorKeeper;
 use crate::succession::fence::FenceKeeper;
 
-/// How often the coordinator looks at all groups without being notified. Not measured.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause after an attempt that failed. Not measured.
+/// Longest pause between two checks of all groups; notifications start a check earlier.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause after a failed attempt to replace a primary, and between two requests to step down.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Replaces primaries while this node is the failover coordinator.
@@ -38,17 +38,18 @@
     pub(super) peers: Rc<Peers>,
     pub(super) control: Rc<dyn PrimaryControl>,
     pub(super) fences: FenceKeeper,
+    /// The last appointment in each group, and the refused tokens.
     pub(super) appointments: RefCell<Appointments>,
-    /// Groups that are being looked at.
+    /// Groups that are being checked, or whose primary is being replaced.
     busy: RefCell<HashSet<GroupName>>,
-    /// When a fence around the primary of a group couldn't be closed.
-    pub(super) unclosed: RefCell<HashMap<GroupName, Instant>>,
-    /// When primaries may be moved without need.
+    /// When a fence around the primary of each group last couldn't be closed.
+    pub(super) unclosed_fences: RefCell<HashMap<GroupName, Instant>>,
+    /// When the primary of each group may be moved again for preference alone.
     pub(super) moves: RefCell<Moves>,
 }
 
 impl Failover {
-    /// A replacer that isn't running yet.
+    /// Creates the part, which isn't running yet.
     pub fn new(
         databases: Rc<Databases>,
         fleet: Rc<Fleet>,
@@ -68,30 +69,30 @@
             peers,
             control,
             busy: RefCell::default(),
-            unclosed: RefCell::default(),
+            unclosed_fences: RefCell::default(),
             moves: RefCell::default(),
             appointments: RefCell::default(),
         })
     }
 
-    /// Looks after all groups whenever there is reason to, forever.
+    /// Checks all groups when notified and at each [`CHECK_INTERVAL`] while this node is the coordinator, forever.
     pub async fn run(self: Rc<Self>) {
         loop {
             let attention = self.fleet.coordinator.attention.notified();
             match self.fleet.coordinator.last_term() {
                 Some(_) => {
-                    // Either way it is time to look.
-                    let _ = tokio::time::timeout(LOOK_INTERVAL, attention).await;
+                    // The groups are checked whether this was notified or the pause is over.
+                    let _ = tokio::time::timeout(CHECK_INTERVAL, attention).await;
                 }
                 None => attention.await,
             }
             if self.fleet.coordinator.last_term().is_some() {
-                self.look_at_all();
+                self.check_groups();
             }
         }
     }
 
-    fn look_at_all(self: &Rc<Self>) {
+    fn check_groups(self: &Rc<Self>) {
         let groups = self.databases.directory.borrow().groups();
         for group in groups {
             if !self.busy.borrow_mut().insert(group.clone()) {
@@ -99,24 +100,25 @@
             }
             let failover = self.clone();
             tokio::task::spawn_local(async move {
-                failover.look_at(&group).await;
+                failover.check_group(&group).await;
                 failover.busy.borrow_mut().remove(&group);
             });
         }
     }
 
-    async fn look_at(self: &Rc<Self>, group: &GroupName) {
+    async fn check_group(self: &Rc<Self>, group: &GroupName) {
         let Some(cause) = self.cause(group).await else {
             return;
         };
-        self.step(group, "start", format!("{cause:?}"));
+        self.log_step(group, "start", format!("{cause:?}"));
         if !self.replace(group, &cause).await {
             tokio::time::sleep(RETRY_PAUSE).await;
             self.fleet.coordinator.attention.notify_one();
         }
     }
 
-    pub(super) fn step(&self, group: &GroupName, step: &str, detail: String) {
+    /// Logs a step of a failover.
+    pub(super) fn log_step(&self, group: &GroupName, step: &str, detail: String) {
         self.cx.events.write(&Event::FailoverStep {
             group: group.as_str(),
             step,
@@ -124,9 +126,9 @@
         });
     }
 
-    /// Records that the primary of a group can't be fenced now.
-    pub(super) fn leave_unclosed(&self, group: &GroupName) {
-        let mut unclosed = self.unclosed.borrow_mut();
-        unclosed.insert(group.clone(), Instant::now());
+    /// Records that the fence around the primary of a group couldn't be closed now.
+    pub(super) fn record_unclosed_fence(&self, group: &GroupName) {
+        let mut unclosed_fences = self.unclosed_fences.borrow_mut();
+        unclosed_fences.insert(group.clone(), Instant::now());
     }
 }
--- a/crates/dyketally-gateway/src/succession/fence.rs
+++ b/crates/dyketally-gateway/src/succession/fence.rs
@@ -1,8 +1,10 @@
-//! Puts up fences on all nodes: before a successor is appointed, no node may take the former primary for
-//! the leader of its group any more.
+//! Sets fences on all nodes: before a successor is appointed, every node has to stop treating the former
+//! primary as the leader of its group.
 //!
-//! [`FenceKeeper`] owns the rounds of fences that this node has begun as failover coordinator. Whether a
-//! fence stands at a node its databases know; [`dyketally::failover::FenceRound`] judges the replies.
+//! The failover coordinator sends a fence to all nodes and collects their confirmations; this is a round. The
+//! fence is closed once no node can use the database any more, by the rule of
+//! [`dyketally::failover::FenceRound`]. [`FenceKeeper`] owns the rounds that this node has begun as
+//! coordinator; [`Databases`] keeps the fences that are set on this node.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -24,60 +26,61 @@
 use crate::store::keys::Keys;
 use crate::store::parts::StoreParts;
 
-/// Pause before nodes that didn't confirm are asked again: a reply from another region takes about 50 ms.
-/// Not measured.
-const ASK_AGAIN: Duration = Duration::from_millis(150);
-/// Pause before the round is judged anew though no node has replied. Not measured.
-const LOOK_INTERVAL: Duration = Duration::from_millis(25);
-/// Tries to delete the key of a fence, which else goes with the coordinator's lease. Not measured.
-const DELETIONS_AT_MOST: u32 = 4;
-/// Pause between two of them. Not measured.
+/// Pause before a fence is sent again to nodes that didn't confirm it; a reply from another region takes
+/// about 50 ms.
+const RESEND_INTERVAL: Duration = Duration::from_millis(150);
+/// Longest pause between two evaluations of a round, also when no node replies.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(25);
+/// Most attempts to delete the key of a fence; without a deletion the key ends with the coordinator's lease.
+const MAX_DELETION_ATTEMPTS: u32 = 4;
+/// Pause between two attempts to delete the key of a fence.
 const DELETION_PAUSE: Duration = Duration::from_millis(400);
-/// Pauses before nodes are sent that a fence is lifted: datagrams get lost, and a node that misses all of
-/// them refuses statements for the primary until the fence runs out. Not measured.
-const LIFT_PAUSES: [Duration; 3] = [
+/// Pauses before each of the datagrams that clear a fence on the other nodes. The datagram is repeated
+/// because a node that misses it refuses statements for the primary until the fence expires.
+const CLEAR_PAUSES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(150),
     Duration::from_millis(600),
 ];
 
-/// Puts up fences on all nodes.
+/// Sets and clears fences on all nodes.
 pub struct FenceKeeper {
     parts: StoreParts,
     databases: Rc<Databases>,
     peers: Rc<Peers>,
-    /// The last round around each database.
+    /// The last round for each database.
     rounds: RefCell<HashMap<DatabaseName, FenceId>>,
-    published: RefCell<HashMap<DatabaseName, Rc<Published>>>,
+    /// The fences whose keys this node put into the store.
+    published: RefCell<HashMap<DatabaseName, Rc<PublishedFence>>>,
 }
 
-/// A fence whose key is in the store.
+/// A fence whose key is written to the store, for nodes that this node doesn't reach.
 #[derive(Debug, Default)]
-struct Published {
-    /// Since when it is.
+struct PublishedFence {
+    /// Since when the store has held the key; `None` until the write succeeded.
     since: Cell<Option<Timestamp>>,
-    /// Notified when it should be deleted.
+    /// Notified when the key should be deleted.
     withdrawn: Notify,
 }
 
-/// A round that isn't judged yet.
+/// A round whose result isn't known yet.
 struct OpenRound {
     database: DatabaseName,
     id: FenceId,
     began: Instant,
-    /// How long before the database was suspected.
+    /// How long before the start of the round the database was suspected.
     suspected: Duration,
     round: FenceRound,
-    /// Nodes that didn't confirm yet.
-    silent: HashSet<SocketAddr>,
-    /// Silent nodes may have contact with a majority by way of those that confirm. These have lately had a
-    /// sign of life of one of them.
+    /// Nodes that haven't confirmed the fence yet.
+    pending: HashSet<SocketAddr>,
+    /// Nodes that lately got a sign of life from a node that confirmed. An unconfirmed node among them may
+    /// still count itself in contact with a majority, so it can't be treated as isolated.
     heard: HashSet<SocketAddr>,
-    published: Option<Rc<Published>>,
+    published: Option<Rc<PublishedFence>>,
 }
 
 impl FenceKeeper {
-    /// A keeper that has begun no round.
+    /// Creates a keeper that has begun no round.
     pub fn new(parts: StoreParts, databases: Rc<Databases>, peers: Rc<Peers>) -> Self {
         Self {
             parts,
@@ -88,99 +91,102 @@
         }
     }
 
-    /// Has all nodes stop taking `database`, which was suspected `suspected` ago, for the leader of
-    /// `group`; false when a successor mustn't be appointed.
+    /// Has all nodes stop treating `database`, which was suspected `suspected` ago, as the leader of `group`.
+    /// Returns true once the fence is closed. False means that no successor may be appointed; the fence is
+    /// then cleared.
     pub async fn close(
         &self,
         group: &GroupName,
         database: &DatabaseName,
         suspected: Duration,
     ) -> bool {
-        let (verdict, round) = self.ask_until_judged(database, suspected).await;
+        let (verdict, round) = self.run_round(database, suspected).await;
         self.parts.cx.events.write(&Event::FailoverStep {
             group: group.as_str(),
             step: "fence",
             detail: format!("{database}: {verdict:?}, {round:?}"),
         });
         if verdict != FenceVerdict::Closed {
-            self.lift(database);
+            self.clear(database);
         }
         verdict == FenceVerdict::Closed
     }
 
-    /// Has all nodes take `database` for a leader again.
-    pub fn lift(&self, database: &DatabaseName) {
+    /// Clears this coordinator's fence around `database` on all nodes, so that it may be treated as leader again.
+    pub fn clear(&self, database: &DatabaseName) {
         self.withdraw(database);
         let Some(id) = self.rounds.borrow_mut().remove(database) else {
             return;
         };
         self.databases.lift_round(database, id);
-        self.broadcast_lift(database, id);
+        self.broadcast_clear(database, id);
     }
 
-    /// Lifts all fences around `database`, which has taken the lead since they were put up, also those of a
-    /// former coordinator. Nodes that miss the datagram which names the new leader would go on refusing
-    /// what only that can run until the fence runs out.
-    pub fn lift_all(&self, database: &DatabaseName) {
+    /// Clears all fences around `database`, which has taken the lead since they were set, including those of
+    /// a former coordinator. Otherwise a node that misses the datagram naming the new leader would refuse
+    /// statements for the primary until the fence expires.
+    pub fn clear_all(&self, database: &DatabaseName) {
         self.withdraw(database);
         let own = self.rounds.borrow_mut().remove(database);
-        let standing = self.databases.fence_round(database);
+        let local = self.databases.fence_round(database);
         self.databases.lift_fence(database);
-        let other = standing.filter(|standing| Some(*standing) != own);
+        let other = local.filter(|local| Some(*local) != own);
         for id in own.into_iter().chain(other) {
-            self.broadcast_lift(database, id);
+            self.broadcast_clear(database, id);
         }
     }
 
+    /// Has the store's key of the fence around `database` deleted.
     fn withdraw(&self, database: &DatabaseName) {
         if let Some(published) = self.published.borrow_mut().remove(database) {
             published.withdrawn.notify_one();
         }
     }
 
-    fn broadcast_lift(&self, database: &DatabaseName, id: FenceId) {
+    fn broadcast_clear(&self, database: &DatabaseName, id: FenceId) {
         let message = PeerMessage::LiftFence {
             database: database.clone(),
             id,
         };
         let peers = self.peers.clone();
         tokio::task::spawn_local(async move {
-            for pause in LIFT_PAUSES {
+            for pause in CLEAR_PAUSES {
                 tokio::time::sleep(pause).await;
                 peers.broadcast_to_electorate(&message);
             }
         });
     }
 
-    async fn ask_until_judged(
+    /// Sends the fence to all nodes until the result of the round is known.
+    async fn run_round(
         &self,
         database: &DatabaseName,
         suspected: Duration,
     ) -> (FenceVerdict, FenceRound) {
         let mut replies = self.peers.collect_fence_replies();
         let mut open = self.begin(database, suspected);
-        let mut ask_at = open.began;
+        let mut send_at = open.began;
         loop {
-            let verdict = self.judge(&mut open);
+            let verdict = self.evaluate(&mut open);
             if verdict != FenceVerdict::Open {
                 return (verdict, open.round);
             }
-            if Instant::now() >= ask_at {
-                if open.published.is_none() && open.began.elapsed() >= ASK_AGAIN {
+            if Instant::now() >= send_at {
+                if open.published.is_none() && open.began.elapsed() >= RESEND_INTERVAL {
                     open.published = Some(self.publish(database, open.id));
                 }
-                self.ask(&open, &replies);
-                ask_at = Instant::now() + ASK_AGAIN;
+                self.send_fence(&open, &replies);
+                send_at = Instant::now() + RESEND_INTERVAL;
             }
-            let look_at = ask_at.min(Instant::now() + LOOK_INTERVAL);
-            let reply = tokio::time::timeout_at(look_at, replies.receiver.recv()).await;
+            let evaluate_at = send_at.min(Instant::now() + EVALUATION_INTERVAL);
+            let reply = tokio::time::timeout_at(evaluate_at, replies.receiver.recv()).await;
             if let Ok(Some(reply)) = reply {
                 self.receive(&mut open, reply);
             }
         }
     }
 
-    /// Begins a round with this node's own fence.
+    /// Begins a round by setting the fence on this node.
     fn begin(&self, database: &DatabaseName, suspected: Duration) -> OpenRound {
         let cx = &self.parts.cx;
         let began = Instant::now();
@@ -188,8 +194,8 @@
         self.rounds.borrow_mut().insert(database.clone(), id);
         let own = &cx.settings.node.name;
         let others = self.parts.fleet.membership.electorate(own);
-        let silent: HashSet<SocketAddr> = others.into_iter().collect();
-        let mut round = FenceRound::new(cx.now(), silent.len() + 1);
+        let pending: HashSet<SocketAddr> = others.into_iter().collect();
+        let mut round = FenceRound::new(cx.now(), pending.len() + 1);
         match self.databases.fence(database, id, suspected) {
             true => round.confirmed(cx.now()),
             false => round.contested(),
@@ -200,13 +206,14 @@
             began,
             suspected,
             round,
-            silent,
+            pending,
             heard: self.peers.heard().into_iter().collect(),
             published: None,
         }
     }
 
-    fn judge(&self, open: &mut OpenRound) -> FenceVerdict {
+    /// The result of the round so far.
+    fn evaluate(&self, open: &mut OpenRound) -> FenceVerdict {
         let published = open.published.as_ref();
         if let Some(at) = published.and_then(|published| published.since.get()) {
             open.round.published(at);
@@ -215,16 +222,16 @@
         if coordinator.term().is_none() {
             open.round.lease_broken();
         }
-        // The former coordinator is isolated since its lease lapsed, unless a node that confirms has given
-        // it a sign of life.
+        // The former coordinator's lease has lapsed, so it is isolated unless a node that confirmed has
+        // lately sent it a sign of life.
         let lapsed = coordinator
             .former()
-            .is_some_and(|former| open.silent.contains(&former) && !open.heard.contains(&former));
+            .is_some_and(|former| open.pending.contains(&former) && !open.heard.contains(&former));
         open.round.lapsed(usize::from(lapsed));
         open.round.verdict(self.parts.cx.now())
     }
 
-    fn ask(&self, open: &OpenRound, replies: &Replies<FenceReply>) {
+    fn send_fence(&self, open: &OpenRound, replies: &Replies<FenceReply>) {
         let suspected = open.suspected + open.began.elapsed();
         let message = PeerMessage::Fence {
             round: replies.round,
@@ -232,7 +239,7 @@
             id: open.id,
             suspected_ms: suspected.as_millis().try_into().unwrap_or(u32::MAX),
         };
-        for node in &open.silent {
+        for node in &open.pending {
             self.peers.send(*node, &message);
         }
     }
@@ -241,17 +248,17 @@
         open.heard.extend(reply.heard);
         match reply.contested {
             true => open.round.contested(),
-            false if open.silent.remove(&reply.from) => {
+            false if open.pending.remove(&reply.from) => {
                 open.round.confirmed(self.parts.cx.now());
             }
             false => {}
         }
     }
 
-    /// Puts the fence's key into the store, for nodes that this one doesn't reach, for as long as the fence
-    /// holds and isn't lifted.
-    fn publish(&self, database: &DatabaseName, id: FenceId) -> Rc<Published> {
-        let published = Rc::new(Published::default());
+    /// Writes the fence's key to the store, for nodes that this node doesn't reach, and deletes it once the
+    /// fence is cleared or has expired.
+    fn publish(&self, database: &DatabaseName, id: FenceId) -> Rc<PublishedFence> {
+        let published = Rc::new(PublishedFence::default());
         let Some(lease) = self.parts.fleet.coordinator.lease() else {
             return published;
         };
@@ -265,11 +272,11 @@
             if parts.store.transact(unconditional(put)).await.is_ok() {
                 fence.since.set(Some(parts.cx.now()));
             }
-            // Either way the key has to go.
+            // The key is deleted whether the fence was withdrawn or has expired.
             let _ = tokio::time::timeout(FENCE_HOLDS, fence.withdrawn.notified()).await;
             let deletion = || Operation::Delete(KeyRange::key(key.clone()));
-            // The key goes with the lease if all of these fail.
-            for _ in 0..DELETIONS_AT_MOST {
+            // If all attempts fail, the key ends with the coordinator's lease.
+            for _ in 0..MAX_DELETION_ATTEMPTS {
                 let deleted = parts.store.transact(unconditional(deletion())).await;
                 if deleted.is_ok() {
                     return;
--- a/crates/dyketally-gateway/src/succession/grants.rs
+++ b/crates/dyketally-gateway/src/succession/grants.rs
@@ -1,10 +1,10 @@
-//! The failover coordinator's grants: nodes ask it several times a second, most by way of their relay,
-//! and receive with each reply which fences stand.
+//! Grants of the failover coordinator: each node requests a grant several times a second, in most cases from
+//! its relay, and receives the fences in force with each reply.
 //!
-//! A node that is lost or cut off together with a primary has no grant half a second later, so a successor
-//! needn't wait until its contact with the store has ended. `dyketally::failover::Contact` calls the grant
-//! the short contact. Owns the questions that may yet be answered; relies on the
-//! record of the coordinator and on the relay that this node follows.
+//! When a node is lost or cut off together with a primary, its grant ends within half a second, so a
+//! successor can be appointed without waiting until that node's contact with the store has ended.
+//! [`dyketally::failover::Contact`] calls the grant the short contact. [`Grants`] owns the requests that may
+//! still be answered; it relies on the record of the coordinator and on the relay that this node follows.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,62 +23,67 @@
 use crate::fleet::peer::Peers;
 use crate::store::feed::Feed;
 
-/// Questions for a grant that may yet be answered.
+/// Requests for a grant whose replies still count.
 #[derive(Debug)]
-struct Questions {
-    /// Drawn at random at first: a former process of this node may have asked as well.
+struct PendingRequests {
+    /// Number of the next request. It starts at random, so that replies to a former process of this node don't
+    /// count as replies to this one.
     next_round: u64,
-    asked: VecDeque<(u64, Timestamp)>,
+    /// Number and time of each request.
+    requested: VecDeque<(u64, Timestamp)>,
 }
 
-impl Default for Questions {
+impl Default for PendingRequests {
     fn default() -> Self {
         Self {
             next_round: rand::random::<u32>().into(),
-            asked: VecDeque::new(),
+            requested: VecDeque::new(),
         }
     }
 }
 
-impl Questions {
-    fn ask(&mut self, now: Timestamp) -> u64 {
+impl PendingRequests {
+    /// Records a request made at `now`; returns its number.
+    fn record(&mut self, now: Timestamp) -> u64 {
         let round = self.next_round;
         self.next_round += 1;
-        self.asked.push_back((round, now));
-        self.asked
-            .retain(|(_, asked)| now.saturating_since(*asked) < SHORT_HOLDS);
+        self.requested.push_back((round, now));
+        self.requested
+            .retain(|(_, requested)| now.saturating_since(*requested) < SHORT_HOLDS);
         round
     }
 
-    fn asked_at(&self, round: u64) -> Option<Timestamp> {
-        let mut asked = self.asked.iter();
-        asked.find(|(known, _)| *known == round).map(|(_, at)| *at)
+    fn requested_at(&self, round: u64) -> Option<Timestamp> {
+        let mut requested = self.requested.iter();
+        requested
+            .find(|(known, _)| *known == round)
+            .map(|(_, at)| *at)
     }
 }
 
-/// Asks for grants, and replies to other nodes that ask.
+/// Requests grants for this node, and replies to other nodes' requests.
 pub struct Grants {
     cx: Rc<Context>,
     fleet: Rc<Fleet>,
     databases: Rc<Databases>,
     feed: Rc<Feed>,
-    questions: RefCell<Questions>,
+    pending: RefCell<PendingRequests>,
 }
 
 impl Grants {
-    /// Grants that aren't asked for yet.
+    /// Creates the part; no grant is requested yet.
     pub fn new(fleet: Rc<Fleet>, databases: Rc<Databases>, feed: Rc<Feed>) -> Rc<Self> {
         Rc::new(Self {
             cx: fleet.cx.clone(),
             fleet,
             databases,
             feed,
-            questions: RefCell::default(),
+            pending: RefCell::default(),
         })
     }
 
-    /// The reply to a node that asks for a grant: the coordinator grants it, all others report the age of
-    /// their own.
+    /// The reply to another node's request for a grant: the coordinator grants it, any other node reports the
+    /// age of its own grant.
     pub fn grant_reply(&self, round: u64) -> PeerMessage {
         let now = self.cx.now();
         let contact = self.cx.contact.borrow_mut();
@@ -96,52 +101,52 @@
         }
     }
 
-    /// Records a reply, once the fences that stand where it comes from have been recorded.
+    /// Records a reply to a request of this node. The fences of the same reply have to be recorded first.
     pub fn receive_grant(&self, round: u64, granted_ms: Option<u32>, majority_ms: Option<u32>) {
-        let Some(asked) = self.questions.borrow().asked_at(round) else {
+        let Some(requested) = self.pending.borrow().requested_at(round) else {
             return;
         };
         let mut contact = self.cx.contact.borrow_mut();
         if let Some(age) = granted_ms {
-            contact.granted(asked - Duration::from_millis(age.into()));
+            contact.granted(requested - Duration::from_millis(age.into()));
         }
-        // While this node is the coordinator only its own calls count.
+        // While this node is the coordinator, only its own rounds count as contact with a majority.
         if let Some(age) = majority_ms
             && self.fleet.coordinator.last_term().is_none()
         {
-            contact.majority_replied(asked - Duration::from_millis(age.into()));
+            contact.majority_replied(requested - Duration::from_millis(age.into()));
         }
     }
 
-    /// Asks for grants, forever.
+    /// Requests a grant at each [`GRANT_INTERVAL`], forever.
     pub async fn run(self: Rc<Self>, peers: Rc<Peers>) {
         loop {
             let now = self.cx.now();
             if self.fleet.coordinator.may_grant() {
                 self.cx.contact.borrow_mut().granted(now);
             } else {
-                let round = self.questions.borrow_mut().ask(now);
-                for source in self.sources() {
-                    peers.send(source, &PeerMessage::ContactAsked { round });
+                let round = self.pending.borrow_mut().record(now);
+                for target in self.targets() {
+                    peers.send(target, &PeerMessage::ContactAsked { round });
                 }
             }
             tokio::time::sleep(GRANT_INTERVAL).await;
         }
     }
 
-    /// Whom this node asks: its relay, which is near; the coordinator while it has none. Where no grant
-    /// comes by way of these, the coordinator and some other node of its zone, which may have a better
-    /// relay.
-    fn sources(&self) -> impl Iterator<Item = SocketAddr> {
+    /// The nodes that this node sends its requests to: its relay, which is near, or the coordinator while it
+    /// follows no relay. While grants are late, also the coordinator and a random other node of its zone,
+    /// which may follow a better relay.
+    fn targets(&self) -> impl Iterator<Item = SocketAddr> {
         let relay = self.feed.relay();
         let is_late = self.cx.contact.borrow_mut().is_grant_late(self.cx.now());
         let coordinator = self.fleet.coordinator.address();
         let coordinator = coordinator.filter(|_| relay.is_none() || is_late);
-        let neighbour = is_late.then(|| self.some_neighbour()).flatten();
+        let neighbour = is_late.then(|| self.random_neighbour()).flatten();
         relay.into_iter().chain(coordinator).chain(neighbour)
     }
 
-    fn some_neighbour(&self) -> Option<SocketAddr> {
+    fn random_neighbour(&self) -> Option<SocketAddr> {
         let own = &self.cx.settings.node;
         let nodes = self.fleet.membership.nodes();
         let others = nodes.values().filter(|node| node.node != own.name);
@@ -151,7 +156,7 @@
     }
 }
 
-/// The age of a grant in milliseconds, rounded up; `None` if it has ended.
+/// The age of a grant in milliseconds, rounded up; `None` if the grant has ended.
 fn age_ms(age: Option<Duration>) -> Option<u32> {
     let age = age.filter(|age| *age < SHORT_HOLDS)?;
     u32::try_from(age.as_millis() + u128::from(age > Duration::ZERO)).ok()
--- a/crates/dyketally-gateway/src/succession/handover.rs
+++ b/crates/dyketally-gateway/src/succession/handover.rs
@@ -1,6 +1,6 @@
-//! A planned handover: the old primary steps down, and a database that has its whole log succeeds it.
+//! Planned handover: the old primary steps down, and a database that has received its whole log succeeds it.
 //!
-//! Owns nothing; relies on surveys for the databases' logs and on `appointment` for the successor.
+//! Owns nothing; relies on surveys for the databases' log positions and on `appointment` for the successor.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,102 +11,109 @@
 use dyketally::identifiers::{DatabaseName, GroupName};
 use tokio::time::Instant;
 
-use super::appointment::Appointed;
+use super::appointment::AppointmentOutcome;
 use super::failover::{Failover, RETRY_PAUSE};
 use super::survey::STATUS_LIMIT;
 use crate::database::target::Target;
 use crate::ports::OwnStatement;
 
-/// How long a primary that should hand over is asked to. Not measured.
+/// How long a primary is asked repeatedly to step down.
 pub(super) const STEP_DOWN_LIMIT: Duration = Duration::from_millis(1_200);
-/// How long a planned handover waits for the successor's log. Not measured.
+/// How long a planned handover waits until a successor has received the whole log.
 const CATCH_UP_LIMIT: Duration = Duration::from_millis(1_500);
-/// How long a planned handover waits for a warm successor's log before it takes one that has just
-/// started: half of the time that it has. Not measured.
+/// How long a planned handover waits for a warm successor before it also accepts a cold one: half of
+/// [`CATCH_UP_LIMIT`].
 const WARM_CATCH_UP_LIMIT: Duration = Duration::from_millis(750);
-/// Pause between two looks at the successor's log. Not measured.
+/// Pause between two requests for the successor's log position.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(15);
 
-/// What to do with a primary that stepped down when no other database has its whole log.
+/// Which database is appointed when the primary has stepped down but no other database has its whole log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Behind {
-    /// It is about to end, so the best of the others leads without the rest of the log.
-    Promote,
-    /// It runs on, so it leads again.
-    Return,
+pub(super) enum IfNotCaughtUp {
+    /// The best of the other databases, without the rest of the log, as the old primary is about to end.
+    AppointBest,
+    /// The old primary, as it keeps running.
+    ReappointOld,
 }
 
-/// The database that is to succeed.
+/// The chosen successor, and whether it has received the log up to the required position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum CaughtUp {
-    /// It has the whole log.
-    Whole(DatabaseName),
-    /// It lacks some of it, as all others do.
+enum CatchUp {
+    /// The successor has received the whole log.
+    Complete(DatabaseName),
+    /// The successor lacks a part of the log, as do all other candidates.
     Behind(DatabaseName),
 }
 
-/// What became of a planned handover.
+/// Outcome of a planned handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Handover {
     /// Another database leads.
     Leads,
-    /// Nothing was done, as no database could succeed.
-    PutOff,
-    /// None could be appointed.
+    /// Nothing was changed: no database can take over now, or no fencing token was obtained.
+    Deferred,
+    /// The old primary stepped down, but no other database was confirmed as leader.
     Failed,
-    /// The old primary didn't say that it stepped down, and may go on.
+    /// The old primary didn't confirm that it stepped down, and may still lead.
     NoReply,
 }
 
 impl Failover {
-    /// Has the old primary step down, and the database in `regions` succeed it that has its whole log.
+    /// Has the old primary step down, and appoints a database in `regions` that has received its whole log. If no
+    /// database has, `if_not_caught_up` decides.
     pub(super) async fn hand_over(
         self: &Rc<Self>,
         group: &GroupName,
         old: &Target,
         regions: &ServingRegions,
-        behind: Behind,
+        if_not_caught_up: IfNotCaughtUp,
     ) -> Handover {
         let mut surveyed = self.survey(group, Some(old), OwnStatement::Status).await;
-        self.restrict(&mut surveyed.candidates, regions);
+        self.restrict_to_regions(&mut surveyed.candidates, regions);
         if let Some(leading) = &surveyed.leading {
-            self.found(group, leading);
+            self.record_leader(group, leading);
             return Handover::Leads;
         }
-        let Some(successor) = self.choose(group, Some(old), &surveyed) else {
-            return Handover::PutOff;
+        let Some(successor) = self.choose_database(group, Some(old), &surveyed) else {
+            return Handover::Deferred;
         };
-        if behind == Behind::Return && self.lags(group, old, &successor, regions).await {
-            self.step(group, "put off", "no replica keeps up".to_owned());
-            return Handover::PutOff;
+        if if_not_caught_up == IfNotCaughtUp::ReappointOld
+            && self
+                .no_replica_keeps_up(group, old, &successor, regions)
+                .await
+        {
+            self.log_step(group, "put off", "no replica keeps up".to_owned());
+            return Handover::Deferred;
         }
-        // Nobody could be appointed without a token, nor the old primary again.
-        if behind == Behind::Return && self.token_for(group, &successor).await.is_none() {
-            self.step(
+        // Without a token neither a successor nor the old primary could be appointed after the step-down.
+        if if_not_caught_up == IfNotCaughtUp::ReappointOld
+            && self.token_for(group, &successor).await.is_none()
+        {
+            self.log_step(
                 group,
                 "put off",
-                "the coordinator's lease could not be renewed".to_owned(),
+                "no fencing token: the coordinator's lease ended or the store did not renew its key".to_owned(),
             );
-            return Handover::PutOff;
+            return Handover::Deferred;
         }
         let Some(position) = self.step_down(old, surveyed.newest_term + 1).await else {
             return Handover::NoReply;
         };
-        let caught_up = self.caught_up(group, old, position, successor, regions);
-        let successor = match (caught_up.await, behind) {
-            (CaughtUp::Whole(successor), _) => successor,
-            (CaughtUp::Behind(successor), Behind::Promote) => successor,
-            (CaughtUp::Behind(_), Behind::Return) => old.name.clone(),
+        let caught_up = self.wait_until_caught_up(group, old, position, successor, regions);
+        let successor = match (caught_up.await, if_not_caught_up) {
+            (CatchUp::Complete(successor), _) => successor,
+            (CatchUp::Behind(successor), IfNotCaughtUp::AppointBest) => successor,
+            (CatchUp::Behind(_), IfNotCaughtUp::ReappointOld) => old.name.clone(),
         };
         match self.appoint(group, &successor).await {
-            Appointed::Leads if successor == old.name => Handover::Failed,
-            Appointed::Leads => Handover::Leads,
-            Appointed::Perhaps | Appointed::Never => Handover::Failed,
+            AppointmentOutcome::Leads if successor == old.name => Handover::Failed,
+            AppointmentOutcome::Leads => Handover::Leads,
+            AppointmentOutcome::MayStillLead | AppointmentOutcome::WontLead => Handover::Failed,
         }
     }
 
-    /// Takes the lead from `old`, so that its log ends; the end of that log. Goes by way of another
-    /// node if this one doesn't reach it.
+    /// Has `old` step down, so that its log ends; returns the end of that log. If this node doesn't reach `old`,
+    /// the request goes through another node. `None` without a reply within [`STEP_DOWN_LIMIT`].
     async fn step_down(&self, old: &Target, term: u64) -> Option<LogPosition> {
         let until = Instant::now() + STEP_DOWN_LIMIT;
         while Instant::now() < until {
@@ -116,7 +123,7 @@
                 .statements
                 .ask_status(old, statement, STATUS_LIMIT)
                 .await;
-            self.step(&old.group, "step down", format!("{old:?}: {status:?}"));
+            self.log_step(&old.group, "step down", format!("{old:?}: {status:?}"));
             if let Some(status) = status {
                 return Some(status.received);
             }
@@ -126,9 +133,10 @@
         None
     }
 
-    /// True when no ready database receives within [`CATCH_UP_LIMIT`] what `old` holds now: to have it
-    /// step down would end its work with no database to go on. A primary that doesn't reply isn't waited for.
-    async fn lags(
+    /// True when no ready database receives within [`CATCH_UP_LIMIT`] the log that `old` has now. If `old`
+    /// stepped down then, no database could take over without losing a part of the log. False when `old` doesn't
+    /// reply.
+    async fn no_replica_keeps_up(
         &self,
         group: &GroupName,
         old: &Target,
@@ -144,26 +152,28 @@
         else {
             return false;
         };
-        let caught_up = self.caught_up(group, old, status.received, successor.clone(), regions);
-        matches!(caught_up.await, CaughtUp::Behind(_))
+        let caught_up =
+            self.wait_until_caught_up(group, old, status.received, successor.clone(), regions);
+        matches!(caught_up.await, CatchUp::Behind(_))
     }
 
-    /// Waits until a ready database has received `position`; the first that has is chosen.
-    async fn caught_up(
+    /// Waits until a ready database has received the log up to `position`, at most [`CATCH_UP_LIMIT`]. Each
+    /// survey chooses the best candidate anew; `chosen` is the result if none of them finds one.
+    async fn wait_until_caught_up(
         &self,
         group: &GroupName,
         old: &Target,
         position: LogPosition,
         chosen: DatabaseName,
         regions: &ServingRegions,
-    ) -> CaughtUp {
+    ) -> CatchUp {
         let began = Instant::now();
         let until = began + CATCH_UP_LIMIT;
         let mut chosen = chosen;
         while Instant::now() < until {
-            // Looks are too frequent for the log.
+            // These surveys are too frequent to be logged.
             let mut survey = self.statuses(group, Some(old), OwnStatement::Status).await;
-            self.restrict(&mut survey.candidates, regions);
+            self.restrict_to_regions(&mut survey.candidates, regions);
             let mut candidates: Vec<Candidate> = survey
                 .candidates
                 .into_iter()
@@ -176,14 +186,14 @@
             if let Succession::Promote(best) = choice {
                 chosen = best;
             }
-            let holds = candidates
+            let has_position = candidates
                 .iter()
                 .any(|candidate| candidate.name == chosen && candidate.received >= Some(position));
-            if holds {
-                return CaughtUp::Whole(chosen);
+            if has_position {
+                return CatchUp::Complete(chosen);
             }
             tokio::time::sleep(CATCH_UP_PAUSE).await;
         }
-        CaughtUp::Behind(chosen)
+        CatchUp::Behind(chosen)
     }
 }
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -1,14 +1,15 @@
-//! Who leads each group: confirming it, noticing that a primary is lost, and replacing it.
+//! Leadership of database groups: confirms the primary of each group, detects its loss, and replaces it.
 //!
-//! - [`confirm`] and [`checks`]: whether a database leads, as this node and as an isolated one may know.
-//! - [`suspicion`]: primaries that fail this node are probed and reported to the failover coordinator.
-//! - [`coordinator`], [`contact`], [`grants`]: which node is the coordinator, and whether a node would
-//!   receive the fence of a primary that is replaced.
-//! - [`failover`] (with the reasons in `cause`) and [`fence`], on the coordinator only: decides that a
-//!   primary is replaced, has all nodes stop using it, and appoints another.
+//! - [`confirm`] and [`checks`]: find out whether a database leads its group. [`checks`] adds the questions
+//!   that a node has to ask while it is isolated.
+//! - [`suspicion`]: probes primaries that fail this node and reports them to the failover coordinator.
+//! - [`coordinator`], [`contact`], [`grants`]: elect the failover coordinator, and track whether this node
+//!   would receive a fence around a primary that is being replaced.
+//! - [`failover`] (with the causes in `cause`) and [`fence`], on the coordinator only: decide that a
+//!   primary is replaced, have all nodes stop using it, and appoint its successor.
 //!
-//! Owns what this node found out about leaders, and the rounds of failovers. Relies on `database`, `fleet`
-//! and `store`; asks the adapter for appointments ([`PrimaryControl`](crate::ports::PrimaryControl)).
+//! Owns what this node found out about leaders, and the state of running failovers. Relies on `database`,
+//! `fleet` and `store`; appointments go through the adapter ([`PrimaryControl`](crate::ports::PrimaryControl)).
 
 mod appointment;
 mod cause;
@@ -41,23 +42,23 @@
 use crate::fleet::access::DatabaseAccess;
 use crate::store::feed::Feed;
 
-/// What every node does about the leaders of groups.
+/// The parts of leadership handling that run on every node, coordinator or not.
 pub struct Leadership {
-    /// Whether a database still leads.
+    /// Checks whether a database still leads.
     pub checks: Rc<LeadershipChecks>,
     /// Confirms that databases lead.
     pub confirmations: Rc<Confirmations>,
     /// Probes primaries that fail this node.
     pub suspicions: Rc<Suspicions>,
-    /// The failover coordinator's grants.
+    /// Requests and answers grants of the failover coordinator.
     pub grants: Rc<Grants>,
-    /// Runs statements of this node's own.
+    /// Runs the gateway's own statements at databases.
     statements: Rc<OwnStatements>,
     fleet: Rc<Fleet>,
 }
 
 impl Leadership {
-    /// The parts of a node that reaches databases by `access`.
+    /// Builds the parts for a node that connects to databases through `access`.
     pub fn new(access: &Rc<DatabaseAccess>, feed: &Rc<Feed>) -> Rc<Self> {
         let DatabaseAccess { fleet, databases } = &**access;
         let statements = OwnStatements::new(access.clone());
--- a/crates/dyketally-gateway/src/succession/own_statements.rs
+++ b/crates/dyketally-gateway/src/succession/own_statements.rs
@@ -1,5 +1,5 @@
-//! Statements that this node runs at databases on its own behalf: to learn their status, and whether they
-//! lead. Owns nothing; relies on the fleet's access to databases.
+//! Statements that the gateway runs at databases on its own behalf: to get their status, to check whether
+//! they lead, and for the steps of a failover. Owns nothing; relies on the fleet's access to databases.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,14 +19,14 @@
 use crate::fleet::connection::DatabaseConnection;
 use crate::ports::OwnStatement;
 
-/// How long a statement of this node's own may wait behind others for a connection: as long as a
-/// confirmation may take. Not measured.
-pub(super) const OWN_PATIENCE: Duration = Duration::from_millis(400);
-/// Pause before a database that was busy is asked for its status again: short against the 300 to 400 ms
-/// that the question may take. Not measured.
+/// Queue timeout of the gateway's own statements for a connection. It equals the time limit of a
+/// confirmation.
+pub(super) const OWN_QUEUE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Pause before a busy database is asked for its status again: short compared with the time limits of status
+/// requests, which are 300 to 400 ms.
 const BUSY_PAUSE: Duration = Duration::from_millis(15);
 
-/// A connection for statements of this node's own. Dropping it closes the connection.
+/// A connection checked out for the gateway's own statements. Dropping it closes the connection.
 pub(super) struct OwnConnection {
     access: Rc<DatabaseAccess>,
     target: Target,
@@ -34,7 +34,7 @@
 }
 
 impl OwnConnection {
-    /// Runs statements of this node's own; the answers, if there are any.
+    /// Runs a batch of the gateway's own statements; `None` if it wasn't answered.
     pub(super) async fn run(&mut self, batch: &Batch) -> Option<Vec<Answer>> {
         let target = &self.target;
         let permission = Permission::control(&target.name);
@@ -44,24 +44,24 @@
         exchange.await.ok()
     }
 
-    /// Returns the connection for others to use. It must be outside any transaction.
+    /// Returns the connection to its pool. No transaction may be open on it.
     pub(super) fn give_back(self) {
         self.connection.give_back();
     }
 }
 
-/// Runs statements of this node's own.
+/// Runs the gateway's own statements.
 pub struct OwnStatements {
     access: Rc<DatabaseAccess>,
 }
 
 impl OwnStatements {
-    /// Statements over connections by `access`.
+    /// Creates the part; statements run on connections of `access`.
     pub fn new(access: Rc<DatabaseAccess>) -> Rc<Self> {
         Rc::new(Self { access })
     }
 
-    /// A connection for `work`, by `until` at the latest.
+    /// Checks out a connection to `target` for `work`; `None` if there is none by `until`.
     pub(super) async fn connect(
         &self,
         target: &Target,
@@ -72,8 +72,8 @@
             priority: OWN_PRIORITY,
             until,
             patience: Patience {
-                burst: OWN_PATIENCE,
-                standing: OWN_PATIENCE,
+                burst: OWN_QUEUE_TIMEOUT,
+                standing: OWN_QUEUE_TIMEOUT,
             },
             work,
             user: None,
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Has a database carry out a statement that it answers with its status.
+    /// Runs a statement that the database answers with its status; `None` without such an answer within `limit`.
     pub(super) async fn ask_status(
         &self,
         target: &Target,
@@ -96,11 +96,11 @@
         limit: Duration,
     ) -> Option<DatabaseStatus> {
         let until = Instant::now() + limit;
-        let asking = self.ask_until_free(target, statement, until);
-        tokio::time::timeout_at(until, asking).await.ok()?
+        let request = self.ask_until_free(target, statement, until);
+        tokio::time::timeout_at(until, request).await.ok()?
     }
 
-    /// Asks again while the database is busy.
+    /// Runs `statement`, and repeats it while the database answers that it is busy.
     async fn ask_until_free(
         &self,
         target: &Target,
@@ -119,8 +119,8 @@
                 Err(failure) if failure.kind == FailureKind::Busy => {
                     tokio::time::sleep(BUSY_PAUSE).await;
                 }
-                // Dropped: a database that refuses counts as one that didn't reply; the log of a failover
-                // step shows it as a candidate without a position.
+                // Dropped: a database that refuses counts as one that didn't reply. The log of a survey shows it
+                // as a candidate without a received position.
                 Err(_) => return None,
             }
         }
--- a/crates/dyketally-gateway/src/succession/poll.rs
+++ b/crates/dyketally-gateway/src/succession/poll.rs
@@ -1,5 +1,5 @@
-//! Polls the nodes on a primary that is suspected, and judges it by their votes. Owns nothing; relies on
-//! [`judge`] for the rule.
+//! Polls the nodes on a suspected primary, and decides by their votes whether it is lost. Owns nothing; the
+//! rule is [`judge`].
 
 use std::time::Duration;
 
@@ -12,28 +12,28 @@
 use crate::event::Event;
 use crate::fleet::peer::Vote;
 
-/// How long votes are waited for: longer than a probe takes. Not measured.
+/// How long votes are awaited: longer than a probe takes.
 const VOTES_LIMIT: Duration = Duration::from_millis(400);
-/// A suspicion that lasts this long needs fewer votes. Not measured.
-const PROLONGED: Duration = Duration::from_millis(2_500);
+/// Age of a suspicion from which on fewer votes suffice to call the primary lost.
+const PROLONGED_AFTER: Duration = Duration::from_millis(2_500);
 
 impl Failover {
-    /// The verdict on `primary`, which was suspected at `since`, as soon as the votes decide.
-    pub(super) async fn verdict(&self, primary: &Target, since: Instant) -> Verdict {
+    /// Polls the nodes on `primary`, which was suspected at `since`, and returns as soon as their votes decide.
+    pub(super) async fn poll_nodes(&self, primary: &Target, since: Instant) -> Verdict {
         let mut poll = self.peers.poll(&primary.group, &primary.name);
         let mut result = PollResult {
             nodes: poll.asked + 1,
-            prolonged: since.elapsed() > PROLONGED,
+            prolonged: since.elapsed() > PROLONGED_AFTER,
             ..PollResult::default()
         };
         let until = Instant::now() + VOTES_LIMIT;
         let own = self.own_vote(primary);
         tokio::pin!(own);
-        let mut own_known = false;
+        let mut own_counted = false;
         loop {
             let vote = tokio::select! {
-                vote = &mut own, if !own_known => {
-                    own_known = true;
+                vote = &mut own, if !own_counted => {
+                    own_counted = true;
                     Some(vote)
                 }
                 vote = poll.votes.receiver.recv() => vote,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Counts a vote; none means that no further one is waited for.
+/// Counts a vote; `None` completes the poll, as no further vote is awaited.
 fn count(result: &mut PollResult, vote: Option<Vote>) {
     match vote {
         Some(vote) => {
--- a/crates/dyketally-gateway/src/succession/replacement.rs
+++ b/crates/dyketally-gateway/src/succession/replacement.rs
@@ -1,5 +1,7 @@
-//! Replaces a primary: by a planned handover where it answers, else behind a fence around it; and the choice
-//! of the database that succeeds it. Owns nothing; relies on `fence`, `survey`, `handover` and `appointment`.
+//! Replaces the primary of a group: by a planned handover if it answers, otherwise by fencing it and appointing
+//! a successor. Also chooses the successor.
+//!
+//! Owns nothing; relies on `fence`, `survey`, `handover` and `appointment`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,27 +11,30 @@
 use dyketally::identifiers::{DatabaseName, GroupName};
 use tokio::time::Instant;
 
-use super::appointment::Appointed;
+use super::appointment::AppointmentOutcome;
 use super::cause::{Cause, NO_PRIMARY_GRACE};
 use super::failover::Failover;
-use super::handover::{Behind, Handover, STEP_DOWN_LIMIT};
+use super::handover::{Handover, IfNotCaughtUp, STEP_DOWN_LIMIT};
 use super::survey::Survey;
 use crate::database::target::Target;
 use crate::ports::OwnStatement;
 
-/// How long the databases' positions count as current. Not measured.
-const SURVEY_HOLDS: Duration = Duration::from_millis(250);
+/// How long the log positions of a survey are treated as current.
+const SURVEY_VALIDITY: Duration = Duration::from_millis(250);
 
 impl Failover {
-    /// Gives the group another primary; true when it leads.
+    /// Replaces the primary of `group` for `cause`; true when a database leads the group afterwards.
     pub(super) async fn replace(self: &Rc<Self>, group: &GroupName, cause: &Cause) -> bool {
         let succeeded = match cause {
             Cause::Leaves(old) | Cause::Unlisted(old) => {
                 let anywhere = ServingRegions::anywhere();
-                match self.hand_over(group, old, &anywhere, Behind::Promote).await {
+                match self
+                    .hand_over(group, old, &anywhere, IfNotCaughtUp::AppointBest)
+                    .await
+                {
                     Handover::Leads => true,
-                    Handover::PutOff | Handover::Failed => false,
-                    // It doesn't answer, so it is replaced like one that is lost.
+                    Handover::Deferred | Handover::Failed => false,
+                    // The primary doesn't answer, so it is replaced like a lost one.
                     Handover::NoReply => self.take_over(group, Some(old), STEP_DOWN_LIMIT).await,
                 }
             }
@@ -43,30 +48,30 @@
             Cause::Shunned(primary) => self.reinstate(group, primary).await,
             Cause::NoPrimary => self.take_over(group, None, NO_PRIMARY_GRACE).await,
         };
-        if self.acknowledging(group) > 0 && !succeeded {
+        if self.acknowledging_replicas(group) > 0 && !succeeded {
             self.survey(group, cause.old(), OwnStatement::Resume).await;
         }
         succeeded
     }
 
-    /// Has all nodes take `primary` for the leader again, around which a fence stands of a former coordinator's.
-    /// It is appointed with this one's token: nothing changes where it leads, and an appointment of another
-    /// database that is under way can't take effect any more.
+    /// Clears the fence that a former coordinator left around `primary`, so that all nodes treat it as leader
+    /// again. It is first appointed with this coordinator's token: that changes nothing if it leads, and an
+    /// appointment of another database that is still in flight can't take effect any more.
     async fn reinstate(self: &Rc<Self>, group: &GroupName, primary: &Target) -> bool {
         let surveyed = self.survey(group, None, OwnStatement::Status).await;
         match &surveyed.leading {
             Some(leading) if leading.name == primary.name => {
-                self.appoint(group, &primary.name).await == Appointed::Leads
+                self.appoint(group, &primary.name).await == AppointmentOutcome::Leads
             }
             Some(leading) => {
-                self.found(group, leading);
+                self.record_leader(group, leading);
                 true
             }
             None => false,
         }
     }
 
-    /// Moves the lead to `regions` without need, so not while no replica there keeps up.
+    /// Moves the lead to `regions` for preference alone; deferred while no replica there keeps up.
     async fn move_lead(
         self: &Rc<Self>,
         group: &GroupName,
@@ -75,31 +80,37 @@
     ) -> bool {
         let now = self.cx.now();
         self.moves.borrow_mut().begun(group, now);
-        let handover = self.hand_over(group, old, regions, Behind::Return).await;
-        if handover == Handover::PutOff {
+        let handover = self
+            .hand_over(group, old, regions, IfNotCaughtUp::ReappointOld)
+            .await;
+        if handover == Handover::Deferred {
             let now = self.cx.now();
             self.moves.borrow_mut().put_off(group, now);
         }
         handover == Handover::Leads
     }
 
-    /// Moves the lead out of an evacuated zone.
+    /// Moves the lead out of an evacuated zone: to the preferred regions, or anywhere if that is deferred.
     async fn evacuate(self: &Rc<Self>, group: &GroupName, old: &Target) -> bool {
         let regions = self.databases.successor_regions(old);
-        let mut handover = self.hand_over(group, old, &regions, Behind::Return).await;
-        if handover == Handover::PutOff && !regions.is_anywhere() {
+        let mut handover = self
+            .hand_over(group, old, &regions, IfNotCaughtUp::ReappointOld)
+            .await;
+        if handover == Handover::Deferred && !regions.is_anywhere() {
             let anywhere = ServingRegions::anywhere();
-            handover = self.hand_over(group, old, &anywhere, Behind::Return).await;
+            handover = self
+                .hand_over(group, old, &anywhere, IfNotCaughtUp::ReappointOld)
+                .await;
         }
         match handover {
             Handover::Leads => true,
-            Handover::PutOff | Handover::Failed => false,
+            Handover::Deferred | Handover::Failed => false,
             Handover::NoReply => self.take_over(group, Some(old), STEP_DOWN_LIMIT).await,
         }
     }
 
-    /// Replaces a primary that can't be asked to hand over, which was suspected `suspected` ago; or
-    /// gives a group a primary of which none is known.
+    /// Replaces the primary `old`, which doesn't answer and was suspected `suspected` ago, or appoints a primary
+    /// for a group without a known one.
     async fn take_over(
         self: &Rc<Self>,
         group: &GroupName,
@@ -107,44 +118,47 @@
         suspected: Duration,
     ) -> bool {
         let Some((surveyed, fenced)) = self.fence_and_survey(group, old, suspected).await else {
-            self.leave_unclosed(group);
+            self.record_unclosed_fence(group);
             return false;
         };
         let appointed = match &surveyed.leading {
             Some(leading) => {
-                self.found(group, leading);
-                Appointed::Leads
+                self.record_leader(group, leading);
+                AppointmentOutcome::Leads
             }
             None => self.appoint_best(group, old, surveyed).await,
         };
-        // While an appointment may yet take effect the fences stand until they run out.
-        if appointed == Appointed::Never {
+        // The fences are kept until they expire while an appointment may still take effect.
+        if appointed == AppointmentOutcome::WontLead {
             fenced
                 .iter()
-                .for_each(|database| self.fences.lift(database));
+                .for_each(|database| self.fences.clear(database));
         }
-        appointed == Appointed::Leads
+        appointed == AppointmentOutcome::Leads
     }
 
+    /// Chooses a successor from `surveyed` and appoints it. Where commits need acknowledgements, the replicas
+    /// are suspended first, so that their logs don't change any more.
     async fn appoint_best(
         self: &Rc<Self>,
         group: &GroupName,
         old: Option<&Target>,
         mut surveyed: Survey,
-    ) -> Appointed {
-        if self.acknowledging(group) > 0 {
+    ) -> AppointmentOutcome {
+        if self.acknowledging_replicas(group) > 0 {
             let term = surveyed.newest_term + 1;
             let suspend = OwnStatement::Suspend { term };
             surveyed = self.survey(group, old, suspend).await;
         }
-        match self.choose(group, old, &surveyed) {
+        match self.choose_database(group, old, &surveyed) {
             Some(successor) => self.appoint(group, &successor).await,
-            None => Appointed::Never,
+            None => AppointmentOutcome::WontLead,
         }
     }
 
-    /// Has all nodes stop using the old primary, or where none is known those databases that can't
-    /// be asked; and asks the others for their status. `None` when some node may still use one.
+    /// Fences the old primary on all nodes, or, if none is known, the databases that don't reply; and asks the
+    /// other databases for their status. Returns the survey and the fenced databases; `None` when a fence
+    /// couldn't be closed, so that some node may still use a fenced database.
     async fn fence_and_survey(
         self: &Rc<Self>,
         group: &GroupName,
@@ -165,14 +179,14 @@
         if !closed {
             return None;
         }
-        // While the fence was closed slowly the replicas may have received more.
-        match began.elapsed() < SURVEY_HOLDS {
+        // If closing the fence took long, the replicas may have received more of the log since the survey.
+        match began.elapsed() < SURVEY_VALIDITY {
             true => Some((surveyed, fenced)),
             false => Some((survey().await, fenced)),
         }
     }
 
-    /// Closes a fence around each of `databases`, or around none of them.
+    /// Closes a fence around each of `databases`. If one can't be closed, clears the others and returns false.
     async fn close_fences(
         &self,
         group: &GroupName,
@@ -182,36 +196,39 @@
         for (index, database) in databases.iter().enumerate() {
             if !self.fences.close(group, database, suspected).await {
                 let closed = databases[..index].iter();
-                closed.for_each(|database| self.fences.lift(database));
+                closed.for_each(|database| self.fences.clear(database));
                 return false;
             }
         }
         true
     }
 
-    pub(super) fn choose(
+    /// The successor to appoint by `surveyed`; `None`, and logged, if no database may be appointed.
+    pub(super) fn choose_database(
         &self,
         group: &GroupName,
         old: Option<&Target>,
         surveyed: &Survey,
     ) -> Option<DatabaseName> {
         let replicas = self.replica_count(group, old);
-        let acknowledging = self.acknowledging(group);
-        match choose_successor(&surveyed.candidates, replicas, acknowledging) {
+        let acknowledging_replicas = self.acknowledging_replicas(group);
+        match choose_successor(&surveyed.candidates, replicas, acknowledging_replicas) {
             Succession::Promote(successor) => Some(successor),
             choice => {
-                self.step(group, "no successor", format!("{choice:?}"));
+                self.log_step(group, "no successor", format!("{choice:?}"));
                 None
             }
         }
     }
 
-    pub(super) fn found(&self, group: &GroupName, leading: &Target) {
-        self.step(group, "found", format!("{leading:?} leads already"));
+    /// Records and logs that `leading`, found by a survey, leads `group` already.
+    pub(super) fn record_leader(&self, group: &GroupName, leading: &Target) {
+        self.log_step(group, "found", format!("{leading:?} leads already"));
         self.leadership.confirmations.acted_as_primary(leading);
     }
 
-    fn acknowledging(&self, group: &GroupName) -> usize {
+    /// How many replicas of `group` must have received a commit before it is acknowledged.
+    fn acknowledging_replicas(&self, group: &GroupName) -> usize {
         let routes = self.cx.routes();
         let limits = routes.groups.get(group);
         limits.map_or(0, |limits| limits.acknowledging_replicas as usize)
--- a/crates/dyketally-gateway/src/succession/survey.rs
+++ b/crates/dyketally-gateway/src/succession/survey.rs
@@ -1,4 +1,5 @@
-//! Asks the databases of a group for their status before one of them is appointed. Owns nothing.
+//! Surveys the databases of a group before one of them is appointed: asks each for its status, and makes
+//! candidates of the replies. Owns nothing.
 
 use std::time::Duration;
 
@@ -11,20 +12,20 @@
 use crate::ports::OwnStatement;
 use crate::succession::failover::Failover;
 
-/// How long a database may take to reply with its status. Not measured.
+/// Time limit for a database's reply with its status.
 pub(super) const STATUS_LIMIT: Duration = Duration::from_millis(400);
-/// Added to the distance of a database in an evacuated zone, which is less than this: of equal logs any
-/// other is preferred.
+/// Added to the preference value of a database in an evacuated zone. All distances are smaller than this, so of
+/// equal logs a database in another zone is preferred.
 const EVACUATED_DISTANCE: u32 = 100;
 
-/// What the databases replied.
+/// The databases' replies to a survey.
 #[derive(Debug, Default)]
 pub(super) struct Survey {
-    /// All that may run, with the position that they replied.
+    /// All databases that may be running, with the log positions that they replied.
     pub(super) candidates: Vec<Candidate>,
-    /// The newest term of any reply.
+    /// The newest term in any reply.
     pub(super) newest_term: u64,
-    /// The one that leads already, if any does.
+    /// The database that leads already, if there is one.
     pub(super) leading: Option<Target>,
 }
 
@@ -38,7 +39,7 @@
 }
 
 impl Failover {
-    /// How many databases of the group other than `old` may run.
+    /// How many databases of the group other than `old` may be running.
     pub(super) fn replica_count(&self, group: &GroupName, old: Option<&Target>) -> usize {
         let directory = self.databases.directory.borrow();
         let members = directory.members(group);
@@ -48,7 +49,8 @@
         replicas.count()
     }
 
-    /// Asks all databases of the group but `old` for their status with `statement`, and logs it.
+    /// Runs `statement`, which is answered with a status, at all databases of the group but `old`, and logs the
+    /// candidates.
     pub(super) async fn survey(
         &self,
         group: &GroupName,
@@ -56,11 +58,11 @@
         statement: OwnStatement,
     ) -> Survey {
         let survey = self.statuses(group, old, statement).await;
-        self.step(group, "survey", format!("{:?}", survey.candidates));
+        self.log_step(group, "survey", format!("{:?}", survey.candidates));
         survey
     }
 
-    /// Asks all databases of the group but `old` for their status with `statement`.
+    /// Runs `statement`, which is answered with a status, at all databases of the group but `old`.
     pub(super) async fn statuses(
         &self,
         group: &GroupName,
@@ -94,14 +96,16 @@
                 preference,
             });
         }
-        // One that was succeeded and hasn't heard of it says that it leads, too. Its group's other databases
-        // know of a later term.
+        // A former primary that doesn't know of its successor yet also answers that it leads. The group's other
+        // databases then know a later term.
         if newest_lead.is_some_and(|term| term < survey.newest_term) {
             survey.leading = None;
         }
         survey
     }
 
+    /// The databases of the group but `old` that may be running. For each, whether it may be appointed, and its
+    /// preference value, smaller first.
     fn members_but(&self, group: &GroupName, old: Option<&Target>) -> Vec<(Target, bool, u32)> {
         let directory = self.databases.directory.borrow();
         let members = directory.members(group).filter(|member| {
@@ -109,7 +113,8 @@
         });
         let described = members.map(|member| {
             let evacuated = self.databases.is_evacuated(&member.announcement.zone);
-            // Where nobody leads, one in an evacuated zone may have stepped down with the longest log.
+            // While no database leads, a former primary in an evacuated zone may have the longest log, as it has
+            // stepped down.
             let usable = !evacuated || old.is_none();
             let ready = member.state == MemberState::Ready && usable;
             let mut preference = self.databases.distance(member) as u32;
@@ -121,8 +126,12 @@
         described.collect()
     }
 
-    /// Leaves only those candidates ready that are in `regions`.
-    pub(super) fn restrict(&self, candidates: &mut [Candidate], regions: &ServingRegions) {
+    /// Marks the candidates outside `regions` as not ready.
+    pub(super) fn restrict_to_regions(
+        &self,
+        candidates: &mut [Candidate],
+        regions: &ServingRegions,
+    ) {
         let directory = self.databases.directory.borrow();
         for candidate in candidates {
             let member = directory.member(&candidate.name);
--- a/crates/dyketally-gateway/src/succession/suspicion.rs
+++ b/crates/dyketally-gateway/src/succession/suspicion.rs
@@ -1,7 +1,8 @@
-//! Suspects primaries that fail this node, probes them, and reports them to the failover coordinator.
+//! Probes primaries that fail this node, and reports those that don't answer to the failover coordinator.
 //!
-//! The suspicions themselves are kept with the record of the coordinator. Relies on the fleet to reach the
-//! coordinator and for nodes that forward connections.
+//! The coordinator keeps the reported suspicions in
+//! [`CoordinatorState`](crate::fleet::coordinator::CoordinatorState). Relies on the fleet for messages to the
+//! coordinator, and for nodes that forward connections.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,14 +22,14 @@
 use crate::fleet::message::PeerMessage;
 use crate::ports::DatabaseUser;
 
-/// Longest time that a probe may take. Not measured.
+/// Time limit of a probe.
 pub const PROBE_LIMIT: Duration = Duration::from_millis(300);
-/// How long a probe that failed answers further questions. Not measured.
-const EVIDENCE_HOLDS: Duration = Duration::from_millis(400);
-/// Pause between two probes of a primary that doesn't answer. Not measured.
+/// How long the result of a failed probe is reused instead of a new probe.
+const EVIDENCE_VALIDITY: Duration = Duration::from_millis(400);
+/// Pause between two probes of a primary that doesn't answer.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// Probes in a row. Not measured.
-const PROBES_AT_MOST: u32 = 40;
+/// Most probes of a primary in a row.
+const MAX_PROBES: u32 = 40;
 
 /// Probes primaries that fail this node.
 pub struct Suspicions {
@@ -39,7 +40,7 @@
 }
 
 impl Suspicions {
-    /// No primary is suspected yet.
+    /// Creates the prober; no primary is suspected yet.
     pub fn new(access: Rc<DatabaseAccess>) -> Rc<Self> {
         Rc::new(Self {
             cx: access.fleet.cx.clone(),
@@ -49,12 +50,12 @@
         })
     }
 
-    /// Has other nodes forward connections to `target`.
+    /// Searches for a node that reaches `target`, and has it forward this node's connections to it.
     pub fn find_forwarder(&self, target: &Target) {
         self.access.find_forwarder(target);
     }
 
-    /// What this node sees of a database of `group`; `None` when it doesn't know it.
+    /// Whether this node reaches `database`; `None` when it knows no such database in `group`.
     pub async fn evidence(&self, group: &GroupName, database: &DatabaseName) -> Option<Evidence> {
         let target = self.databases.known_target(database)?;
         match &target.group == group {
@@ -63,16 +64,16 @@
         }
     }
 
-    /// What this node sees of a database: as it has just found out, or by a new probe.
+    /// Whether this node reaches a database, by a probe that failed within [`EVIDENCE_VALIDITY`] or by a new one.
     pub async fn evidence_of(&self, target: &Target) -> Evidence {
-        match target.state.recent_failure(EVIDENCE_HOLDS) {
+        match target.state.recent_failure(EVIDENCE_VALIDITY) {
             Some(evidence) => evidence,
             None => self.probe(target).await,
         }
     }
 
-    /// Probes a database on a new connection of its own. An answer to anything else that comes meanwhile
-    /// counts as well, as a busy database may be slow to open connections.
+    /// Probes a database on a new, direct connection. An answer that arrives meanwhile on another direct
+    /// connection counts as well, as a busy database may be slow to open connections.
     async fn probe(&self, target: &Target) -> Evidence {
         let began = Instant::now();
         let to = Destination {
@@ -81,8 +82,8 @@
         };
         let route = Route::Direct(target.state.pool.address());
         let connector = &self.databases.connector;
-        let dialled = connector.open(route, to, DatabaseUser::Gateway, PROBE_LIMIT);
-        let seen = match dialled.await {
+        let opening = connector.open(route, to, DatabaseUser::Gateway, PROBE_LIMIT);
+        let probed = match opening.await {
             Ok(_) => Evidence::Answered,
             Err(OpenError::TurnedAway(failure)) if failure.kind != FailureKind::WrongDatabase => {
                 Evidence::Answered
@@ -93,13 +94,13 @@
         let forwarded = target.state.pool.is_forwarded();
         let evidence = match !forwarded && target.state.answered_since(began) {
             true => Evidence::Answered,
-            false => seen,
+            false => probed,
         };
         target.state.probed_as(evidence);
         evidence
     }
 
-    /// Probes a primary that failed this node, and reports it for as long as it doesn't answer.
+    /// Probes `target` in the background if it is a primary, and reports it for as long as it doesn't answer.
     pub fn suspect(self: &Rc<Self>, target: &Target) {
         if !self.databases.is_primary(target) || target.state.probed.replace(true) {
             return;
@@ -113,7 +114,7 @@
     }
 
     async fn probe_until_answered(&self, target: &Target) {
-        for _ in 0..PROBES_AT_MOST {
+        for _ in 0..MAX_PROBES {
             let evidence = self.probe(target).await;
             if evidence == Evidence::Answered || !self.databases.is_primary(target) {
                 target.state.pool.reach_directly();
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Reports to the coordinator, or to all nodes if it isn't known, that `target` doesn't answer.
+    /// Reports to the coordinator that `target` doesn't answer; to all nodes while no coordinator is known.
     pub fn report(&self, target: &Target) {
         if self.fleet.coordinator.last_term().is_some() {
             self.record(target.group.clone(), target.name.clone());
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Records that some node suspects a primary.
+    /// Records that a node suspects a primary, for the coordinator to act on.
     pub fn record(&self, group: GroupName, database: DatabaseName) {
         let mut suspicions = self.fleet.coordinator.suspicions.borrow_mut();
         suspicions
