--- a/crates/dyketally-gateway/src/context/accept.rs
+++ b/crates/dyketally-gateway/src/context/accept.rs
@@ -4,10 +4,10 @@
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// Accepts the next connection. After a failure it tries again behind `pause`.
+/// Accepts the next connection. Waits for `pause` after each failed attempt.
 ///
-/// A failure isn't logged: it is the peer's that has left already, or descriptors have run out, and then
-/// each further try would write a line.
+/// Failures aren't logged. Either the peer has closed the connection already, or the process has run out of
+/// file descriptors, in which case every further attempt would write a line.
 pub async fn accept(listener: &TcpListener, pause: Duration) -> TcpStream {
     loop {
         match listener.accept().await {
--- a/crates/dyketally-gateway/src/context/changes.rs
+++ b/crates/dyketally-gateway/src/context/changes.rs
@@ -1,9 +1,9 @@
-//! Wakes tasks that wait for a change of routes, databases or primaries.
+//! Signal that wakes tasks waiting for a change of routes, databases or primaries.
 
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Notifies of changes; every waiter is woken by each of them.
+/// Notifies tasks of changes. Each change wakes all tasks that wait.
 #[derive(Debug)]
 pub struct Changes {
     version: watch::Sender<u64>,
@@ -18,7 +18,7 @@
 }
 
 impl Changes {
-    /// Wakes all who wait: routes, databases or a primary changed.
+    /// Wakes all waiting tasks, as routes, databases or a primary have changed.
     pub fn notify(&self) {
         self.version.send_modify(|version| *version += 1);
     }
@@ -26,7 +26,7 @@
     /// Waits for the next change, at most until `until`.
     pub async fn next(&self, until: Instant) {
         let mut version = self.version.subscribe();
-        // Both a change and the end of the wait are fine.
+        // The result is dropped: callers check again after a change and at the deadline alike.
         let _ = tokio::time::timeout_at(until, version.changed()).await;
     }
 }
--- a/crates/dyketally-gateway/src/context/clock.rs
+++ b/crates/dyketally-gateway/src/context/clock.rs
@@ -3,7 +3,7 @@
 use dyketally::time::Timestamp;
 use tokio::time::Instant;
 
-/// Counts time from the start of the process.
+/// Measures time from the start of the process, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
--- a/crates/dyketally-gateway/src/context/configuration.rs
+++ b/crates/dyketally-gateway/src/context/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration in force, and how lately it was confirmed to be the newest one; see
-//! [`dyketally::tenant::KeyTrust`].
+//! The configuration in force, and when it was last confirmed to be the newest one, which decides whether
+//! callers' keys can be trusted; see [`dyketally::tenant::KeyTrust`].
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,17 +13,17 @@
 use super::Context;
 use crate::event::Event;
 
-/// The routes in force, and how far the keys of callers in them can be trusted.
+/// The routes in force, and whether the callers' keys in them can still be trusted.
 pub struct Configuration {
     routes: RefCell<Rc<RouteSet>>,
     is_in_force: Cell<bool>,
     trust: RefCell<KeyTrust>,
-    /// Whether the log tells that keys can't be trusted.
+    /// True when the last logged state is that keys can't be trusted.
     logged_uncertain: Cell<bool>,
 }
 
 impl Configuration {
-    /// None yet, and nothing is confirmed.
+    /// Starts without a configuration; none is in force and nothing is confirmed.
     pub fn new(policy: KeyPolicy) -> Self {
         Self {
             routes: RefCell::default(),
@@ -68,28 +68,28 @@
         }
     }
 
-    /// Records that the store, asked at `asked`, has reported all changes of the configuration to this
-    /// node.
+    /// Records that the store, by a request sent at `asked`, has reported all changes of the configuration up to
+    /// then to this node.
     pub fn keys_confirmed(&self, asked: Timestamp) {
         self.configuration.trust.borrow_mut().confirm(asked);
-        self.log_if_certain_again();
+        self.log_if_trusted_again();
     }
 
-    /// Records that a relay, asked at `asked`, has passed on all changes of the configuration that it
-    /// had received, and that its own was confirmed `age` before.
+    /// Records that a relay, by a request sent at `asked`, has passed on all changes of the configuration that it
+    /// had received, and that the relay's own configuration was confirmed `age` before.
     pub fn keys_confirmed_by_relay(&self, asked: Timestamp, age: Duration) {
         let mut trust = self.configuration.trust.borrow_mut();
         trust.confirm_relayed(asked, age);
         drop(trust);
-        self.log_if_certain_again();
+        self.log_if_trusted_again();
     }
 
-    /// How long ago this node's configuration was confirmed to be the newest one.
+    /// How long ago this node's configuration was confirmed to be the newest one; `None` if it never was.
     pub fn configuration_age(&self) -> Option<Duration> {
         self.configuration.trust.borrow().age(self.now())
     }
 
-    /// True while operations that need a key may be served.
+    /// True while operations that need a key may be served. Logs the first time that they may not.
     pub fn keys_hold(&self) -> bool {
         let holds = self.trusts_keys();
         if !holds && !self.configuration.logged_uncertain.replace(true) {
@@ -101,7 +101,7 @@
         holds
     }
 
-    /// True while nothing can be served: all routes need keys, and this node can't trust those it knows.
+    /// True while no operation can be served: all routes need keys, and this node can't trust the keys it knows.
     pub fn refuses_all(&self) -> bool {
         !self.trusts_keys() && self.routes().all_need_keys()
     }
@@ -110,7 +110,7 @@
         self.configuration.trust.borrow().holds(self.now())
     }
 
-    fn log_if_certain_again(&self) {
+    fn log_if_trusted_again(&self) {
         if self.trusts_keys() && self.configuration.logged_uncertain.replace(false) {
             self.events.write(&Event::KeysConfirmed);
         }
--- a/crates/dyketally-gateway/src/context/mod.rs
+++ b/crates/dyketally-gateway/src/context/mod.rs
@@ -1,7 +1,7 @@
-//! What all parts of the process share: settings, clock, log, counters and metrics, the configuration
-//! in force, how current the node's contacts are, and the signals that tasks wait for.
+//! State that all parts of the process share: settings, clock, log, counters and metrics, the configuration
+//! in force, the node's contact with the store and other nodes, and the signals that tasks wait for.
 //!
-//! Relies on nothing above it: every part is built with an `Rc<Context>`.
+//! Relies on no higher layer: every part is built with an `Rc<Context>`.
 
 mod accept;
 mod changes;
@@ -28,32 +28,32 @@
 use crate::measures::Measures;
 use crate::settings::Settings;
 
-/// What all parts of the process share.
+/// State that all parts of the process share.
 pub struct Context {
     /// The process's settings.
     pub settings: Settings,
     /// The monotonic clock.
     pub clock: Clock,
-    /// The log.
+    /// The structured log.
     pub events: EventLog,
-    /// What the process has done.
+    /// Counts of what the process has done, for the log.
     pub counters: Counters,
-    /// The same for its metrics, with times.
+    /// Counts and durations for the metrics.
     pub measures: Rc<Measures>,
     /// The configuration in force and its age.
     pub configuration: Configuration,
-    /// How lately the store and most nodes replied to this node.
+    /// When the store and most nodes last replied to this node.
     pub contact: Rc<NodeContact>,
     /// Whether the store replies.
     pub store_health: StoreHealth,
-    /// Tells that routes, databases or a primary changed.
+    /// Notifies tasks that routes, databases or a primary have changed.
     pub changes: Changes,
     /// The phase of the planned stop.
     pub stop: Stop,
 }
 
 impl Context {
-    /// A process that starts now; `store_calls` are counted by its client of the store.
+    /// Creates the state of a process that starts now. The client of the store counts its calls in `store_calls`.
     pub fn new(settings: Settings, store_calls: Arc<StoreCalls>) -> Rc<Self> {
         let configuration = Configuration::new(settings.access.key_policy());
         Rc::new(Self {
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Now, on the process's monotonic clock.
+    /// The current time of the process's monotonic clock.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
--- a/crates/dyketally-gateway/src/context/stop.rs
+++ b/crates/dyketally-gateway/src/context/stop.rs
@@ -1,21 +1,21 @@
-//! The planned stop of the process, phase by phase.
+//! Phases of the process's planned stop, and the signal that a phase has begun.
 
 use tokio::sync::watch;
 
-/// Phases of a planned stop, in their order.
+/// Phases of a planned stop, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// No stop was asked for.
+    /// No stop was requested.
     Serving,
-    /// The node is no longer ready, but callers that don't know yet are served as before.
+    /// The node reports that it isn't ready, but still serves callers that haven't noticed.
     Leaving,
-    /// No new sessions; each ends as soon as no operation is under way.
+    /// New sessions are refused, and each open session ends as soon as no operation of it is in progress.
     ClosingSessions,
-    /// Transactions that are still open are given up.
+    /// Transactions that are still open are abandoned.
     EndingTransactions,
 }
 
-/// The phase that the process is in.
+/// The current phase of the process.
 #[derive(Debug)]
 pub struct Stop {
     phase: watch::Sender<StopPhase>,
@@ -40,10 +40,10 @@
         *self.phase.borrow() > StopPhase::Serving
     }
 
-    /// Waits until a phase of the planned stop begins.
+    /// Waits until `phase` of the planned stop, or a later one, has begun.
     pub async fn entered(&self, phase: StopPhase) {
-        let mut entered = self.phase.subscribe();
-        // The sender lives as long as the process.
-        let _ = entered.wait_for(|entered| *entered >= phase).await;
+        let mut current = self.phase.subscribe();
+        // The wait can't fail: the sender exists as long as the process.
+        let _ = current.wait_for(|current| *current >= phase).await;
     }
 }
--- a/crates/dyketally-gateway/src/context/store_health.rs
+++ b/crates/dyketally-gateway/src/context/store_health.rs
@@ -1,5 +1,5 @@
-//! Whether the store replies to this node, by its own calls or by way of a relay. Owns when it replied
-//! last; relies on nothing.
+//! Whether the store replies to this node, directly or through a relay. Owns the time of the last reply; relies
+//! on nothing else.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -9,24 +9,27 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Silence after which the store counts as lost, once a call has failed: two renewals of the
-/// coordinator's lease, which come each 0.8 s. Not measured.
+/// Time without a reply after which the store is treated as lost, provided that a call has failed. It spans two
+/// renewals of the coordinator's lease, which are 0.8 s apart.
 const LOST_AFTER: Duration = Duration::from_millis(1_800);
 
-/// What the calls to the store showed last.
+/// Whether the store replies, by the last calls to it.
 #[derive(Default)]
 pub struct StoreHealth {
     /// Notified when the store replies again after a call that failed.
     pub regained: Notify,
-    /// Notified when it matters whether the store can be reached.
+    /// Notified when another node polls this one on a primary. Its vote also says whether the store is lost, so
+    /// its lease is then renewed early.
     pub check: Notify,
+    /// When the store replied last.
     replied: Cell<Option<Instant>>,
+    /// True when the last recorded call failed.
     failing: Cell<bool>,
 }
 
 impl StoreHealth {
-    /// Records that the store replied. After a failure all who wait are woken: a watch that was lost with
-    /// the store reports nothing by itself.
+    /// Records that the store replied. The first reply after a failure wakes all tasks that wait for the store:
+    /// a watch that was lost during the outage reports nothing by itself.
     pub fn replied(&self) {
         self.replied.set(Some(Instant::now()));
         if self.failing.replace(false) {
@@ -34,23 +37,23 @@
         }
     }
 
-    /// Records that the store didn't reply to a renewal.
+    /// Records that the store didn't reply to a call.
     pub fn failed(&self) {
         self.failing.set(true);
     }
 
-    /// True when the last renewal found the store failing.
+    /// True when the last recorded call to the store failed.
     pub fn is_failing(&self) -> bool {
         self.failing.get()
     }
 
-    /// True when the store fails this node and has been silent for a while.
+    /// True when the last recorded call failed and the last reply is older than [`LOST_AFTER`].
     pub fn is_lost(&self) -> bool {
         let replied = self.replied.get();
         self.failing.get() && replied.is_some_and(|at| at.elapsed() > LOST_AFTER)
     }
 
-    /// Renews a lease at `store`, and records what that shows of the store.
+    /// Renews a lease at `store`, and records whether the store replied.
     ///
     /// # Errors
     /// The lease has lapsed, or the store didn't reply.
@@ -62,7 +65,7 @@
         let renewed = store.keep_lease_alive(lease).await;
         match &renewed {
             Ok(_) => self.replied(),
-            // The store replied, but whether it works again the next call shows.
+            // Not recorded: the store replied, but only the next call shows whether it works again.
             Err(StoreError::LeaseLapsed { .. }) => {}
             Err(_) => self.failed(),
         }
--- a/crates/dyketally-gateway/tests/store_health.rs
+++ b/crates/dyketally-gateway/tests/store_health.rs
@@ -1,14 +1,14 @@
-//! What this node knows of the store by its calls.
+//! Tests of `StoreHealth`, which tracks by the calls to the store whether it replies.
 
 use std::time::Duration;
 
 use dyketally_gateway::context::store_health::StoreHealth;
 use futures::FutureExt;
 
-/// Whoever hears from the store first after it failed tells all who wait for it: watches that were
-/// lost meanwhile say nothing by themselves.
+/// The first reply of the store after a failure wakes all tasks that wait for it. Without that, watches that were
+/// lost during the outage would stay lost, as they report nothing by themselves.
 #[tokio::test]
-async fn the_first_answer_after_a_failure_tells_all_who_wait() {
+async fn the_first_reply_after_a_failure_wakes_all_waiting_tasks() {
     let health = StoreHealth::default();
     let watch = health.regained.notified();
     tokio::pin!(watch);
@@ -16,22 +16,31 @@
     health.replied();
     assert!(
         watch.as_mut().now_or_never().is_none(),
-        "nothing had failed"
+        "woken by a reply although no call had failed"
     );
     health.failed();
     health.replied();
-    assert!(watch.now_or_never().is_some(), "the watch goes on waiting");
+    assert!(
+        watch.now_or_never().is_some(),
+        "the reply after a failure did not wake the waiting watch"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_store_is_lost_only_when_it_fails_and_was_silent_for_a_while() {
+async fn the_store_is_lost_only_after_a_failure_and_a_long_time_without_reply() {
     let health = StoreHealth::default();
     health.replied();
     tokio::time::advance(Duration::from_secs(10)).await;
-    assert!(!health.is_lost(), "nothing was asked");
+    assert!(
+        !health.is_lost(),
+        "lost after 10 s without a reply although no call had failed"
+    );
     health.failed();
     assert!(health.is_lost());
     health.replied();
     health.failed();
-    assert!(!health.is_lost(), "it answered just now");
+    assert!(
+        !health.is_lost(),
+        "lost although the store had just replied"
+    );
 }
