--- a/crates/dyketally-gateway/src/context/store_health.rs
+++ b/crates/dyketally-gateway/src/context/store_health.rs
@@ -47,7 +47,7 @@
         self.failing.get()
     }
 
-    /// True when the last recorded call failed and the last reply is older than [`LOST_AFTER`].
+    /// True when the last recorded call failed and the last reply is older than `LOST_AFTER`.
     pub fn is_lost(&self) -> bool {
         let replied = self.replied.get();
         self.failing.get() && replied.is_some_and(|at| at.elapsed() > LOST_AFTER)
