--- a/crates/dyketally-gateway/src/succession/appointment.rs
+++ b/crates/dyketally-gateway/src/succession/appointment.rs
@@ -29,7 +29,7 @@
 /// Pause between two checks whether an unreachable appointed database is lost. Each check may have every polled
 /// node open a connection to it.
 const LOSS_CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// Most appointments of one successor in a row. Appointments are repeated because their answers may be lost or
+/// Most appointments of one successor in a row. An appointment without an answer is repeated, as answers may be
 /// late (decision 0041).
 const MAX_APPOINTMENTS: u32 = 6;
 
