--- a/crates/dyketally-gateway/src/decision/choose.rs
+++ b/crates/dyketally-gateway/src/decision/choose.rs
@@ -1,39 +1,37 @@
-//! Which database serves a read, and how it is proved that it may.
-//!
-//! Databases are ranked by the latency to expect of them, with penalties in milliseconds for what speaks
-//! against them. Any database will do whose log holds the position that the statement needs; where
-//! nobody knows that position, the primary is asked.
+//! Which database serves a read, and what shows that its answer is fresh enough. Databases are ranked by
+//! expected latency plus penalties in milliseconds, for example for a cold database or one in another
+//! region. Any database qualifies whose log holds the position that the statement needs; while this node
+//! doesn't know that position, it requests it from the primary.
 
 use dyketally::group::LogPosition;
 use dyketally::placement::Distance;
 
 use crate::decision::Operation;
 
-/// Penalty of a database in another region, whose traffic is dear, in milliseconds. Not measured.
+/// Penalty of a database in another region, in milliseconds: traffic between regions is expensive.
 pub const REGION_PENALTY_MS: f64 = 25.0;
-/// Penalty of a replica that probably lacks what a read needs, in milliseconds: about the time that asking
-/// it in vain takes. The figure isn't measured.
-pub const LAGGING_PENALTY_MS: f64 = 120.0;
-/// Penalty of a replica that has just refused the position, in milliseconds: more than a primary under
-/// load costs. It goes last of those that are in use. Not measured.
-pub const BEHIND_PENALTY_MS: f64 = 1_000.0;
-/// Penalty of a database that has just started, in milliseconds: more than any wait at a warm one, less
-/// than what a database costs that doesn't answer.
+/// Penalty of a replica that probably lacks the position that a read needs, in milliseconds: about the time
+/// lost by sending the read there without success.
+pub const LIKELY_BEHIND_PENALTY_MS: f64 = 120.0;
+/// Penalty of a replica that has just refused a read for lack of the position, in milliseconds: more than a
+/// primary under load costs, so that the replica ranks last of the warm databases that aren't suspended.
+pub const KNOWN_BEHIND_PENALTY_MS: f64 = 1_000.0;
+/// Penalty of a database that has just started, in milliseconds: more than any wait at a warm database,
+/// less than the penalty of one that doesn't answer.
 pub const COLD_PENALTY_MS: f64 = 5_000.0;
-/// Penalty of a database that failed a moment ago, in milliseconds: it goes last of all.
+/// Penalty of a suspended database, which has just failed, in milliseconds: it ranks last of all.
 pub const SUSPENDED_PENALTY_MS: f64 = 10_000.0;
 
-/// Latency to expect of an idle database in this node's zone, in milliseconds. These three order databases
-/// that this node has no samples of yet, and are the least that is expected of any: a statement takes about
-/// 20 ms, and the network adds 3 ms between zones and about 40 ms between regions, there and back. Not
-/// measured.
+/// Expected latency of an idle database in this node's zone, in milliseconds. This figure and the two below
+/// rank databases without samples, and are lower bounds for the estimates of all others. A statement takes
+/// about 20 ms; the network adds 3 ms per round trip between zones and about 40 ms between regions.
 const SAME_ZONE_MS: f64 = 20.0;
-/// The same in another zone of this node's region.
+/// Expected latency of an idle database in another zone of this node's region, in milliseconds.
 const SAME_REGION_MS: f64 = 23.0;
-/// The same in another region.
+/// Expected latency of an idle database in another region, in milliseconds.
 const OTHER_REGION_MS: f64 = 55.0;
 
-/// Latency to expect of an idle database, in milliseconds.
+/// Expected latency of an idle database at this distance, in milliseconds.
 pub fn expected_latency_ms(distance: Distance) -> f64 {
     match distance {
         Distance::SameZone => SAME_ZONE_MS,
@@ -45,42 +43,43 @@
 /// A database that may serve a read.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// True when it is taken to lead its group.
+    /// True when this node treats it as the leader of its group.
     pub leads: bool,
-    /// The latency to expect of it under its load, in milliseconds.
+    /// Expected latency under its current load, in milliseconds.
     pub latency_ms: f64,
-    /// Where it runs.
+    /// Distance from this node.
     pub distance: Distance,
-    /// True when it lacked the needed position a moment ago.
+    /// True when it recently lacked the needed position.
     pub was_behind: bool,
-    /// True while it has just started, unless the draw gave it this read.
+    /// True while it is in slow start and the random sample didn't admit this read to it.
     pub is_cold: bool,
-    /// True when it failed a moment ago.
+    /// True while it is suspended after a failure.
     pub is_suspended: bool,
 }
 
-/// What holds for all candidates of a read.
+/// Ranking inputs that are the same for all candidates of a read.
 #[derive(Clone, Copy, Debug)]
-pub struct Preferences {
-    /// Penalty of the primary, in milliseconds, from the settings: the greater it is the more reads
-    /// replicas serve.
+pub struct RankingInputs {
+    /// Penalty of the primary, in milliseconds, from the settings. A higher penalty sends more reads to
+    /// replicas.
     pub primary_penalty_ms: f64,
-    /// True when commits as new as the read needs usually haven't reached replicas yet.
-    pub is_too_new: bool,
+    /// True when the needed commit is younger than the usual replication lag, so that replicas probably lack
+    /// it.
+    pub replicas_likely_behind: bool,
 }
 
 impl Candidate {
-    /// The latency to expect with all penalties, in milliseconds; the smallest goes first.
-    pub fn cost_ms(&self, preferences: Preferences) -> f64 {
+    /// Expected latency plus all penalties, in milliseconds; the lowest cost ranks first.
+    pub fn cost_ms(&self, inputs: RankingInputs) -> f64 {
         let mut cost = self.latency_ms;
         if self.leads {
-            cost += preferences.primary_penalty_ms;
+            cost += inputs.primary_penalty_ms;
         }
         if self.distance == Distance::OtherRegion {
             cost += REGION_PENALTY_MS;
         }
         if self.is_replica_behind() {
-            cost += BEHIND_PENALTY_MS;
+            cost += KNOWN_BEHIND_PENALTY_MS;
         }
         if self.is_cold {
             cost += COLD_PENALTY_MS;
@@ -88,13 +87,13 @@
         if self.is_suspended {
             cost += SUSPENDED_PENALTY_MS;
         }
-        if preferences.is_too_new && !self.leads {
-            cost += LAGGING_PENALTY_MS;
+        if inputs.replicas_likely_behind && !self.leads {
+            cost += LIKELY_BEHIND_PENALTY_MS;
         }
         cost
     }
 
-    /// True when a refused read may as well be sent to this one, if it wasn't tried yet.
+    /// True when a refused read may be sent to this database, provided that it wasn't tried yet.
     pub fn is_alternative(&self) -> bool {
         !self.was_behind && !self.is_suspended
     }
@@ -104,81 +103,84 @@
     }
 }
 
-/// The databases that may serve a read, best first. A replica that was behind is left out while the
-/// primary can be asked.
-pub fn ranked<T>(candidates: Vec<(Candidate, T)>, preferences: Preferences) -> Vec<(Candidate, T)> {
+/// The databases that may serve a read, best first. Replicas that recently lacked the position are excluded
+/// while there is a primary.
+pub fn ranked<T>(candidates: Vec<(Candidate, T)>, inputs: RankingInputs) -> Vec<(Candidate, T)> {
     let has_primary = candidates.iter().any(|(candidate, _)| candidate.leads);
     let mut ranked = candidates;
     ranked.retain(|(candidate, _)| !(has_primary && candidate.is_replica_behind()));
     ranked.sort_by(|(one, _), (other, _)| {
-        let cost = one.cost_ms(preferences);
-        cost.total_cmp(&other.cost_ms(preferences))
+        let cost = one.cost_ms(inputs);
+        cost.total_cmp(&other.cost_ms(inputs))
     });
     ranked
 }
 
-/// A database that was picked.
+/// A database selected for the next attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pick<T> {
+pub enum Selection<T> {
     /// It wasn't tried yet.
     Untried(T),
-    /// All were tried, so that the statement goes round again, from the best.
-    Again(T),
+    /// All databases were tried; the selection starts over with the best one.
+    Restart(T),
 }
 
-/// The database to try next of those that are `ranked`.
-pub fn next<T>(ranked: Vec<T>, was_tried: impl Fn(&T) -> bool) -> Option<Pick<T>> {
+/// Selects the database for the next attempt from those that are `ranked`.
+pub fn select_next<T>(ranked: Vec<T>, was_tried: impl Fn(&T) -> bool) -> Option<Selection<T>> {
     let untried = ranked.iter().position(|one| !was_tried(one));
     let mut ranked = ranked.into_iter();
     match untried {
-        Some(place) => ranked.nth(place).map(Pick::Untried),
-        None => ranked.next().map(Pick::Again),
+        Some(place) => ranked.nth(place).map(Selection::Untried),
+        None => ranked.next().map(Selection::Restart),
     }
 }
 
-/// How an answer proves that it is fresh enough.
+/// What the database checks before it runs a statement, so that its answer is fresh enough.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Proof {
-    /// The database proves that it leads.
+pub enum FreshnessCheck {
+    /// It leads its group.
     Leads,
-    /// The database's log holds the position.
+    /// Its log holds the position.
     Holds(LogPosition),
 }
 
-/// What a statement needs next that needn't go to the primary.
+/// What to do next for a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// A database that gives this proof.
-    Prove(Proof),
-    /// The primary's answer to what its log holds.
-    AskForPosition,
+pub enum NextStep {
+    /// Send the statement to a database that makes this check.
+    Send(FreshnessCheck),
+    /// Request the current log position from the primary.
+    RequestPosition,
 }
 
-/// True when the best database is looked for before the primary is asked for the position: a read may go
-/// to the primary anyway.
-pub fn ranks_before_asking(operation: Operation) -> bool {
+/// True when databases are ranked before the position is requested from the primary: a read may turn out to
+/// go to the primary anyway.
+pub fn ranks_before_position_request(operation: Operation) -> bool {
     operation == Operation::Read
 }
 
-/// Where a statement goes whose position is `known`, or has to be asked for; `best_leads` when the best
-/// database is the primary.
-///
-/// A read that would go to the primary anyway goes there at once. A transaction that doesn't write asks
-/// for the position even then.
-pub fn way(operation: Operation, known: Option<LogPosition>, best_leads: bool) -> Way {
+/// What to do next for a statement that needs the position `known`, or whose position isn't known yet.
+/// `best_leads` tells whether the best database is the primary. A read whose best database is the primary
+/// is sent there without a request for the position. The first statement of a transaction requests the
+/// position even then.
+pub fn next_step(operation: Operation, known: Option<LogPosition>, best_leads: bool) -> NextStep {
     match known {
-        Some(position) => Way::Prove(Proof::Holds(position)),
-        None if operation == Operation::Read && best_leads => Way::Prove(Proof::Leads),
-        None => Way::AskForPosition,
+        Some(position) => NextStep::Send(FreshnessCheck::Holds(position)),
+        None if operation == Operation::Read && best_leads => NextStep::Send(FreshnessCheck::Leads),
+        None => NextStep::RequestPosition,
     }
 }
 
-/// Which proof a statement needs once the primary was asked for the position; `None` when it waits.
-/// Without an answer a read goes to the primary itself, a transaction waits and asks again.
-pub fn proof_after_asking(operation: Operation, known: Option<LogPosition>) -> Option<Proof> {
+/// The check that a statement needs after the position was requested from the primary. If the primary
+/// didn't answer, a read is sent to it, and the first statement of a transaction waits and requests the
+/// position again (`None`).
+pub fn check_after_position_request(
+    operation: Operation,
+    known: Option<LogPosition>,
+) -> Option<FreshnessCheck> {
     match known {
-        Some(position) => Some(Proof::Holds(position)),
-        None if operation == Operation::Read => Some(Proof::Leads),
+        Some(position) => Some(FreshnessCheck::Holds(position)),
+        None if operation == Operation::Read => Some(FreshnessCheck::Leads),
         None => None,
     }
 }
--- a/crates/dyketally-gateway/src/decision/give_up.rs
+++ b/crates/dyketally-gateway/src/decision/give_up.rs
@@ -1,8 +1,7 @@
-//! When a statement is given up before its time is over, and why.
-//!
-//! What can't be served is refused at once rather than held until its deadline: the caller may reach
-//! another node, or come back when the load is over. The questions are asked in one order for all
-//! operations; which of them are asked at all differs, see [`after_attempt`].
+//! When a statement is given up before its deadline, and why. A statement that can't be served is refused
+//! at once instead of being held until its deadline: its caller may reach another node, or retry once the
+//! load has dropped. The conditions are checked in the same order for all operations; which of them apply
+//! depends on the operation, see [`after_attempt`].
 
 use std::time::Duration;
 
@@ -12,12 +11,12 @@
 use crate::decision::retry::RETRY_PAUSE;
 use crate::decision::{Operation, Reason, wait};
 
-/// Left of the statement's time when a statement that isn't running is given up, so that the refusal
-/// arrives before the caller stops waiting. Not measured.
+/// Time before the deadline at which a statement that isn't running is given up, so that the refusal
+/// arrives before the caller stops waiting.
 pub const ANSWER_RESERVE: Duration = Duration::from_millis(30);
-/// Share of a route's objective after which a statement that found no connection is refused. Measured
-/// together with shorter queues, on a day on which a group is short of connections for 8 s: 431 late
-/// statements to 103 (decision 0045).
+/// Share of a route's latency objective after which a statement without a connection is refused. On a day
+/// on which a group is short of connections for 8 s, this and shorter queues reduced late statements from
+/// 431 to 103 (decision 0045).
 pub const REFUSED_AFTER_SHARE: f64 = 0.4;
 
 /// When a statement with this deadline is given up if it isn't running by then.
@@ -25,63 +24,64 @@
     deadline - ANSWER_RESERVE
 }
 
-/// How an attempt ended that didn't answer the statement.
+/// Outcome of an attempt that gave no answer to the statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Attempt {
-    /// The statement was not run.
+pub enum UnansweredAttempt {
+    /// The statement has not run.
     NotRun(FailureKind),
-    /// Its answer was lost.
+    /// The answer was lost; the statement may have run.
     Lost,
-    /// There was no database to send it to.
+    /// There was no database to send the statement to.
     NotStarted,
 }
 
 /// Whether the group has a primary that this node can use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Primary {
-    /// It has.
+pub enum PrimaryState {
+    /// The group has a usable primary.
     Usable,
-    /// It has none.
+    /// The group has no usable primary.
     Missing {
-        /// Time since the first of the attempts that found none; zero if there was none before.
+        /// Time since the first attempt of this outage that found no usable primary; zero if there was none.
         since_first: Duration,
     },
 }
 
-impl Primary {
+impl PrimaryState {
     fn is_unavailable(self) -> bool {
         matches!(self, Self::Missing { since_first } if wait::is_unavailable(since_first))
     }
 }
 
-/// What is known as an attempt has ended. Some of it costs a look at all databases of the group, so that
-/// the rule asks only for what it needs; asking changes nothing.
-pub trait Circumstances {
+/// Inputs of the rule, looked up only when the rule asks for them, since some take a pass over all
+/// databases of the group. Lookups have no side effects.
+pub trait GiveUpInputs {
     /// Time since the statement arrived.
     fn elapsed(&self) -> Duration;
     /// The route's latency objective.
     fn objective(&self) -> Duration;
-    /// The group's primary.
-    fn primary(&self) -> Primary;
-    /// True while some database of the group may serve the statement.
-    fn something_may_serve(&self) -> bool;
-    /// Attempts of the statement that still run.
+    /// State of the group's primary.
+    fn primary(&self) -> PrimaryState;
+    /// True while any database of the group may serve the statement.
+    fn any_database_may_serve(&self) -> bool;
+    /// Number of attempts of the statement that are still running.
     fn running(&self) -> usize;
-    /// True when a database that wasn't tried may serve the statement as well.
-    fn has_untried(&self) -> bool;
+    /// True when a database that may serve the statement wasn't tried yet.
+    fn has_untried_database(&self) -> bool;
 }
 
-/// What becomes of the statement.
+/// What becomes of a statement after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
-    /// Set when it is given up.
+pub struct AfterAttempt {
+    /// Why the statement is given up; `None` when it goes on.
     pub give_up: Option<Reason>,
-    /// True when the attempt is one more that found no usable primary; see [`super::wait`].
-    pub missed_primary: bool,
+    /// True when the attempt counts as one that found no usable primary, see [`super::wait`].
+    pub found_no_primary: bool,
 }
 
-/// Why waiting longer won't get a statement served in time whose attempt was refused for `refusal`.
-fn hopeless(refusal: FailureKind, elapsed: Duration, objective: Duration) -> Option<Reason> {
+/// Why a statement that was refused for `refusal` won't be served in time by waiting longer; `None` when it
+/// may be.
+fn final_refusal(refusal: FailureKind, elapsed: Duration, objective: Duration) -> Option<Reason> {
     let is_late = elapsed >= objective.mul_f64(REFUSED_AFTER_SHARE);
     match refusal {
         FailureKind::QueueTooLong => Some(Reason::QueueTooLong),
@@ -94,110 +94,109 @@
     }
 }
 
-/// Whether a statement is given up after an attempt. In this order:
-///
-/// 1. Is waiting hopeless, by what the attempt was refused for?
-/// 2. May no database of the group serve it?
-/// 3. Has the group had no usable primary for too long?
-///
-/// 1 and 3 don't end it while another attempt runs, or a database that wasn't tried may serve it.
-///
-/// The operations differ in what they ask. A write has only the primary to go to, and learns of 2 when it
-/// looks for that. A read asks for 2 only when there was no database to send it to; and it doesn't ask
-/// for 3 once 1 holds, nor after a lost answer. A transaction asks for all three after each attempt.
+/// Decides after an attempt whether the statement is given up. The conditions, in order:
+/// 1. The refusal shows that waiting longer won't help.
+/// 2. No database of the group may serve the statement.
+/// 3. The group has had no usable primary for too long.
+/// Conditions 1 and 3 don't end the statement while another attempt runs or an untried database may serve
+/// it. Which conditions are checked depends on the operation. A write can only go to the primary, and finds
+/// condition 2 when it looks for the primary. A read checks condition 2 only when there was no database to
+/// send it to; it skips condition 3 when condition 1 holds or the answer was lost. The first statement of a
+/// transaction checks all three after each attempt.
 pub fn after_attempt(
     operation: Operation,
-    attempt: Attempt,
-    circumstances: &impl Circumstances,
-) -> Verdict {
-    let hopeless = match attempt {
-        Attempt::NotRun(refusal) => {
-            hopeless(refusal, circumstances.elapsed(), circumstances.objective())
+    attempt: UnansweredAttempt,
+    inputs: &impl GiveUpInputs,
+) -> AfterAttempt {
+    let final_refusal = match attempt {
+        UnansweredAttempt::NotRun(refusal) => {
+            final_refusal(refusal, inputs.elapsed(), inputs.objective())
         }
-        Attempt::Lost | Attempt::NotStarted => None,
+        UnansweredAttempt::Lost | UnansweredAttempt::NotStarted => None,
     };
     match (operation, attempt) {
-        (_, Attempt::NotStarted) => without_database(circumstances),
-        (Operation::Read | Operation::Write, Attempt::Lost) => Verdict::GO_ON,
-        (Operation::Read | Operation::Write, Attempt::NotRun(_)) => match hopeless {
-            Some(_) if has_alternative(circumstances) => Verdict::GO_ON,
-            Some(reason) => Verdict::give_up(reason),
-            None => by_primary(circumstances),
+        (_, UnansweredAttempt::NotStarted) => after_no_database(inputs),
+        (Operation::Read | Operation::Write, UnansweredAttempt::Lost) => AfterAttempt::CONTINUE,
+        (Operation::Read | Operation::Write, UnansweredAttempt::NotRun(_)) => match final_refusal {
+            Some(_) if has_alternative(inputs) => AfterAttempt::CONTINUE,
+            Some(reason) => AfterAttempt::give_up(reason),
+            None => after_primary_check(inputs),
         },
-        (Operation::FirstOfTransaction, _) => match hopeless {
-            Some(reason) if !has_alternative(circumstances) => Verdict::give_up(reason),
-            _ if !circumstances.something_may_serve() => Verdict::give_up(Reason::NothingMayServe),
-            _ => by_primary(circumstances),
+        (Operation::FirstOfTransaction, _) => match final_refusal {
+            Some(reason) if !has_alternative(inputs) => AfterAttempt::give_up(reason),
+            _ if !inputs.any_database_may_serve() => AfterAttempt::give_up(Reason::NothingMayServe),
+            _ => after_primary_check(inputs),
         },
     }
 }
 
-fn has_alternative(circumstances: &impl Circumstances) -> bool {
-    circumstances.running() > 0 || circumstances.has_untried()
+fn has_alternative(inputs: &impl GiveUpInputs) -> bool {
+    inputs.running() > 0 || inputs.has_untried_database()
 }
 
-/// Whether a statement is given up that there was no database to send to. Nothing of it runs then, and no
-/// database is left to try.
-fn without_database(circumstances: &impl Circumstances) -> Verdict {
-    match circumstances.something_may_serve() {
-        false => Verdict::give_up(Reason::NothingMayServe),
+/// Decides whether a statement is given up for which there was no database. None of its attempts runs then,
+/// and no database is left untried.
+fn after_no_database(inputs: &impl GiveUpInputs) -> AfterAttempt {
+    match inputs.any_database_may_serve() {
+        false => AfterAttempt::give_up(Reason::NothingMayServe),
         true => {
-            let primary = circumstances.primary();
+            let primary = inputs.primary();
             let gives_up = primary.is_unavailable();
-            Verdict::of_primary(primary, gives_up)
+            AfterAttempt::with_primary(primary, gives_up)
         }
     }
 }
 
-fn by_primary(circumstances: &impl Circumstances) -> Verdict {
-    let primary = circumstances.primary();
-    let gives_up = primary.is_unavailable() && !has_alternative(circumstances);
-    Verdict::of_primary(primary, gives_up)
+fn after_primary_check(inputs: &impl GiveUpInputs) -> AfterAttempt {
+    let primary = inputs.primary();
+    let gives_up = primary.is_unavailable() && !has_alternative(inputs);
+    AfterAttempt::with_primary(primary, gives_up)
 }
 
-impl Verdict {
-    const GO_ON: Self = Self {
+impl AfterAttempt {
+    const CONTINUE: Self = Self {
         give_up: None,
-        missed_primary: false,
+        found_no_primary: false,
     };
 
     fn give_up(reason: Reason) -> Self {
         Self {
             give_up: Some(reason),
-            missed_primary: false,
+            found_no_primary: false,
         }
     }
 
-    fn of_primary(primary: Primary, gives_up: bool) -> Self {
+    fn with_primary(primary: PrimaryState, gives_up: bool) -> Self {
         Self {
             give_up: gives_up.then_some(Reason::PrimaryUnavailable),
-            missed_primary: primary != Primary::Usable,
+            found_no_primary: primary != PrimaryState::Usable,
         }
     }
 }
 
-/// Why a write is given up that found no primary within the time that it waits for one: `is_lasting`
-/// when no database may serve it before the configuration changes. With [`Reason::NoPrimaryInTime`] it
-/// is one more attempt that missed the primary.
-pub fn without_primary(is_lasting: bool) -> Reason {
+/// Why a write is given up that found no primary before the wait limit. `is_lasting` tells whether no
+/// database may serve it until the configuration changes. With [`Reason::NoPrimaryInTime`] the attempt
+/// counts as one that found no usable primary.
+pub fn no_primary_reason(is_lasting: bool) -> Reason {
     match is_lasting {
         true => Reason::NothingMayServe,
         false => Reason::NoPrimaryInTime,
     }
 }
 
-/// The statement's time.
+/// Current time and deadline of a statement.
 #[derive(Clone, Copy, Debug)]
 pub struct Time {
-    /// Now.
+    /// Current time.
     pub now: Instant,
-    /// When it must be answered.
+    /// When the statement must be answered.
     pub deadline: Instant,
 }
 
-/// Whether a statement's time is over, as it is about to pause. A read goes on while one of its
-/// `running` attempts may be answered, up to its deadline. A write or transaction whose pause would end
-/// after its latest start is given up before the pause; its attempts end at the deadline by themselves.
+/// Why a statement is given up for lack of time when it is about to pause. A read goes on up to its
+/// deadline while any of its `running` attempts may be answered. A write or the first statement of a
+/// transaction is given up if its pause would end after its latest start; an attempt in progress ends at
+/// the deadline.
 pub fn out_of_time(operation: Operation, time: Time, running: usize) -> Option<Reason> {
     let Time { now, deadline } = time;
     let latest_start = latest_start(deadline);
--- a/crates/dyketally-gateway/src/decision/hedge.rs
+++ b/crates/dyketally-gateway/src/decision/hedge.rs
@@ -1,22 +1,21 @@
-//! When another database is asked beside one that doesn't answer a read, and how long an answer that
-//! nobody waits for any more may still come.
+//! When a read that is still unanswered is also sent to another database (hedging), and how long a
+//! connection is kept for an answer that arrives too late.
 
 use std::time::Duration;
 
 use crate::decision::retry::RETRY_PAUSE;
 
-/// Longest wait for an answer before another database is asked as well. Not measured.
-pub const HEDGE_AT_MOST: Duration = Duration::from_millis(350);
-/// How long an answer that nobody waits for any more is waited for after the statement's deadline, to
-/// keep its connection. An answer may never come, and each connection that waits for one is missing from
-/// its pool: without a limit four lost answers used up a pool, and a node refused 2,328 statements in
-/// 22 s. The length isn't measured.
+/// Longest wait for an answer before a read is also sent to another database.
+pub const HEDGE_DELAY: Duration = Duration::from_millis(350);
+/// How long after a statement's deadline its connection still waits for the answer, so that the connection
+/// can be used again. An answer may never arrive, and a connection that waits for one is missing from its
+/// pool: without this limit four lost answers used up a pool, and a node refused 2,328 statements in 22 s.
 pub const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(300);
 
-/// How long a read waits for the end of one of its `running` attempts before it tries another one.
+/// How long a read with this number of `running` attempts waits for one to end before it starts another.
 pub fn wait_for_answer(running: usize) -> Duration {
     match running {
         0 => RETRY_PAUSE,
-        _ => HEDGE_AT_MOST,
+        _ => HEDGE_DELAY,
     }
 }
--- a/crates/dyketally-gateway/src/decision/learn.rs
+++ b/crates/dyketally-gateway/src/decision/learn.rs
@@ -1,100 +1,106 @@
-//! What a refusal, or an answer, tells of the database that gave it.
-//!
-//! Only what a database says about itself is a lesson. Whether it can be reached, and how fast it
-//! answers, `database::health` learns from the exchange itself.
+//! What a refusal or an answer shows about the database that sent it. Only statements of the database about
+//! itself count here. Whether it can be reached, and how fast it answers, is recorded by `database::health`
+//! from the exchange.
 
 use dyketally::group::LogPosition;
 use dyketally::statement::FailureKind;
 
 use crate::decision::Operation;
-use crate::decision::choose::Proof;
+use crate::decision::choose::FreshnessCheck;
 
-/// What was learnt of a database.
+/// What a reply shows about a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lesson {
-    /// It doesn't lead its group.
+pub enum Feedback {
+    /// The database doesn't lead its group.
     Follows,
-    /// Its log lacked a position.
+    /// The database's log lacked a position.
     Behind {
-        /// The position.
+        /// The position that was lacking.
         needed: LogPosition,
-        /// True when the refusal also counts for how far replicas usually are behind.
-        counts_for_lag: bool,
+        /// True when the refusal also updates the estimate of the usual replication lag.
+        updates_lag_estimate: bool,
     },
-    /// Its log held a position.
+    /// The database's log held a position.
     Holds {
-        /// The position.
+        /// The position that was held.
         needed: LogPosition,
-        /// True when the answer also counts for how far replicas usually are behind.
-        counts_for_lag: bool,
+        /// True when the answer also updates the estimate of the usual replication lag.
+        updates_lag_estimate: bool,
     },
 }
 
-/// What a refusal tells, where the statement rested on `proof`.
-///
-/// A transaction's refusal doesn't count for the usual lag, a read's does.
-pub fn from_refusal(operation: Operation, proof: Proof, refusal: FailureKind) -> Option<Lesson> {
-    match (proof, refusal) {
-        (Proof::Leads, FailureKind::ReadOnly) => Some(Lesson::Follows),
-        (Proof::Holds(needed), FailureKind::ReplicaBehind) => Some(Lesson::Behind {
+/// What a refusal shows about the database that was asked to make `check`. Refusals of reads update the
+/// estimate of the replication lag, those of transactions don't.
+pub fn from_refusal(
+    operation: Operation,
+    check: FreshnessCheck,
+    refusal: FailureKind,
+) -> Option<Feedback> {
+    match (check, refusal) {
+        (FreshnessCheck::Leads, FailureKind::ReadOnly) => Some(Feedback::Follows),
+        (FreshnessCheck::Holds(needed), FailureKind::ReplicaBehind) => Some(Feedback::Behind {
             needed,
-            counts_for_lag: operation == Operation::Read,
+            updates_lag_estimate: operation == Operation::Read,
         }),
         _ => None,
     }
 }
 
-/// What an answer tells, where the statement rested on `proof` and the database is taken to lead if
-/// `leads`. That it leads is observed apart from this, once it is sure that nobody has replaced it.
-pub fn from_answer(operation: Operation, proof: Proof, leads: bool) -> Option<Lesson> {
-    match proof {
-        Proof::Leads => None,
-        Proof::Holds(needed) => Some(Lesson::Holds {
+/// What an answer shows about the database that made `check` and is treated as the leader if `leads`. That
+/// a database leads is recorded separately, once it is certain that no other one has replaced it.
+pub fn from_answer(operation: Operation, check: FreshnessCheck, leads: bool) -> Option<Feedback> {
+    match check {
+        FreshnessCheck::Leads => None,
+        FreshnessCheck::Holds(needed) => Some(Feedback::Holds {
             needed,
-            counts_for_lag: operation == Operation::Read && !leads,
+            updates_lag_estimate: operation == Operation::Read && !leads,
         }),
     }
 }
 
-/// What a refusal tells that came without an answer of the database, from a home or from this node's own
-/// checks. A transaction learns from it as from the database's own; reads and writes don't.
+/// What a refusal shows that doesn't come from the database but from a home or from a check of this node.
+/// For the first statement of a transaction it counts like a refusal by the database; for reads and writes
+/// it shows nothing.
 pub fn from_refusal_without_answer(
     operation: Operation,
-    proof: Proof,
+    check: FreshnessCheck,
     refusal: FailureKind,
-) -> Option<Lesson> {
+) -> Option<Feedback> {
     match operation {
-        Operation::FirstOfTransaction => from_refusal(operation, proof, refusal),
+        Operation::FirstOfTransaction => from_refusal(operation, check, refusal),
         Operation::Read | Operation::Write => None,
     }
 }
 
-/// What a read is worth that was sent behind a `BEGIN` which only a leader takes.
+/// What the reply to a read is worth that was sent after a `BEGIN` which only a leader accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BehindBegin {
-    /// It has not run.
+pub enum ReadAfterBegin {
+    /// The read has not run.
     NotRun(FailureKind),
-    /// It ran on its own behind a refused `BEGIN`, and proves nothing.
-    ProvesNothing,
-    /// It is the answer if the database still leads.
-    AnswerOfLeader,
-    /// It failed at the database that leads; that is the answer.
+    /// The read ran by itself after the `BEGIN` was refused, so its answer may be stale.
+    Inconclusive,
+    /// The reply is the answer, provided that the database still leads.
+    AnswerIfLeading,
+    /// The read failed at the leader, and the failure is the answer.
     FailedAtLeader,
 }
 
-/// What a read is worth by why its `BEGIN` was refused and why it failed itself.
-pub fn behind_begin(begin: Option<FailureKind>, read: Option<FailureKind>) -> BehindBegin {
+/// Rates the reply to a read after a `BEGIN`, by the failures of the two, if any.
+pub fn read_after_begin(begin: Option<FailureKind>, read: Option<FailureKind>) -> ReadAfterBegin {
     match (begin, read) {
-        (begin, Some(kind)) if kind.not_run() => BehindBegin::NotRun(begin.unwrap_or(kind)),
-        (Some(_), _) => BehindBegin::ProvesNothing,
-        (None, None) => BehindBegin::AnswerOfLeader,
-        (None, Some(_)) => BehindBegin::FailedAtLeader,
+        (begin, Some(kind)) if kind.not_run() => ReadAfterBegin::NotRun(begin.unwrap_or(kind)),
+        (Some(_), _) => ReadAfterBegin::Inconclusive,
+        (None, None) => ReadAfterBegin::AnswerIfLeading,
+        (None, Some(_)) => ReadAfterBegin::FailedAtLeader,
     }
 }
 
-/// What is learnt from a read behind a `BEGIN`, by why that was refused and why the read failed: either
-/// may tell that the database doesn't lead.
-pub fn from_behind_begin(begin: Option<FailureKind>, read: Option<FailureKind>) -> Option<Lesson> {
+/// What a read after a `BEGIN` shows about the database, by the failures of the two, if any: either may
+/// show that the database doesn't lead.
+pub fn from_read_after_begin(
+    begin: Option<FailureKind>,
+    read: Option<FailureKind>,
+) -> Option<Feedback> {
     let follows = [begin, read].contains(&Some(FailureKind::ReadOnly));
-    follows.then_some(Lesson::Follows)
+    follows.then_some(Feedback::Follows)
 }
--- a/crates/dyketally-gateway/src/decision/mod.rs
+++ b/crates/dyketally-gateway/src/decision/mod.rs
@@ -1,22 +1,19 @@
-//! The rules by which statements are placed, held, repeated, refused and given up.
-//!
-//! Each rule is one file. It takes named inputs, and gives a typed answer; where the answer ends a
-//! statement, it carries the [`Reason`] that the log line prints. The loops in
-//! `statement` collect the inputs, ask, and do as told.
-//!
+//! Rules that decide how statements are routed, queued, retried, refused and given up. Each file holds one
+//! rule: pure functions that take named inputs and return a typed result. A result that ends a statement
+//! carries the [`Reason`] that the log prints. The loops in `statement` collect the inputs, call the rules
+//! and carry out the results.
 //! | question | rule |
 //! |---|---|
-//! | which database serves a read, and how is it proved that it may | [`choose`] |
-//! | how long a statement waits behind others for a connection | [`admit`] |
-//! | how long it waits for a primary that can't be used | [`wait`] |
-//! | what is sent again, how often, after which pause | [`retry`] |
-//! | when a second database is asked beside the first | [`hedge`] |
-//! | when a statement is given up before its time is over | [`give_up`] |
-//! | what the caller receives for a statement without an answer | [`refuse`] |
-//! | what a refusal, or an answer, tells of the database | [`learn`] |
-//! | when a refused caller should come back | [`come_back`] |
-//!
-//! This folder owns no state. It does no I/O and reads no clock; randomness is passed in. It relies on
+//! | Which database serves a read, and what shows that its answer is fresh enough? | [`choose`] |
+//! | How long may a statement wait in the queue for a connection? | [`admit`] |
+//! | How long does a statement wait for a usable primary? | [`wait`] |
+//! | Which statements are retried, how often, and after which pause? | [`retry`] |
+//! | When is a read also sent to a second database? | [`hedge`] |
+//! | When is a statement given up before its deadline? | [`give_up`] |
+//! | Which error does the caller receive for a statement without an answer? | [`refuse`] |
+//! | What does a refusal or an answer show about the database that sent it? | [`learn`] |
+//! | When should a refused caller retry? | [`come_back`] |
+//! The folder owns no state, does no I/O and reads no clock; random samples are passed in. It depends on
 //! types of the library, and on `Instant` for deadlines.
 
 pub mod admit;
@@ -32,14 +29,14 @@
 
 pub use reason::Reason;
 
-/// What is being served. Rules differ between these where what is at stake does: a read may run twice, a
-/// write may not, and nothing of a transaction is kept before it commits.
+/// Kind of operation that a rule decides on. The rules differ because the risks do: a read may run twice, a
+/// write may not, and a transaction has no effect before it commits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// A single read.
+    /// A read outside a transaction.
     Read,
-    /// A single write.
+    /// A write outside a transaction.
     Write,
-    /// The first statement of a transaction, which finds the transaction's database.
+    /// The first statement of a transaction, which determines the transaction's database.
     FirstOfTransaction,
 }
--- a/crates/dyketally-gateway/src/decision/reason.rs
+++ b/crates/dyketally-gateway/src/decision/reason.rs
@@ -1,54 +1,52 @@
-//! Why a statement ended as it did: what the log prints as `reason` of `statement_decided`.
+//! Why a statement ended as it did: the `reason` of the log event `statement_decided`.
 
 use std::fmt;
 
 use dyketally::statement::FailureKind;
 
-/// Why a statement ended as it did, with the rule that says so.
+/// Why a statement ended as it did. Each variant names the rule that decides it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// A database answered it, whether it succeeded there or failed.
+    /// A database answered it, successfully or with an error.
     Answered,
-    /// Regions, evacuations or a missing database leave none that may serve it, for as long as the
-    /// configuration stays ([`give_up`](super::give_up)).
+    /// The serving regions, evacuated zones or missing databases of its group leave no database that may serve
+    /// it until the configuration changes ([`give_up`](super::give_up)).
     NothingMayServe,
-    /// The database that it was meant for may not serve it ([`give_up`](super::give_up)).
+    /// The database that it was sent to may not serve it ([`give_up`](super::give_up)).
     NotServedThere,
-    /// It would have waited too long behind others ([`admit`](super::admit)).
+    /// The queue for a connection was so long that it would have timed out ([`admit`](super::admit)).
     QueueTooLong,
-    /// The database has just started and takes no more for now ([`give_up`](super::give_up)).
+    /// The database has just started and accepts no more statements for now ([`give_up`](super::give_up)).
     DatabaseCold,
-    /// It found no connection for too large a share of its objective ([`give_up`](super::give_up)).
+    /// It had no connection after a large share of its latency objective ([`give_up`](super::give_up)).
     ConnectionsShort,
-    /// Its group has had no usable primary for longer than a replacement takes
-    /// ([`wait`](super::wait)).
+    /// Its group has had no usable primary for longer than a failover takes ([`wait`](super::wait)).
     PrimaryUnavailable,
-    /// No primary could be used within the time for which it waits for one ([`wait`](super::wait)).
+    /// It found no usable primary before the wait limit ([`wait`](super::wait)).
     NoPrimaryInTime,
-    /// Its time is over but for what the answer takes, and it isn't running
-    /// ([`give_up`](super::give_up)).
+    /// It isn't running, and the rest of its time is reserved for the refusal ([`give_up`](super::give_up)).
     TimeUsedUp,
-    /// Its deadline passed while it was at a database ([`give_up`](super::give_up)).
+    /// Its deadline passed while a database was running it ([`give_up`](super::give_up)).
     DeadlinePassed,
-    /// Its answer was lost, and it may not be sent again ([`retry`](super::retry)).
+    /// Its answer was lost, and it must not be retried ([`retry`](super::retry)).
     AnswerLost,
     /// The connection of its transaction broke ([`retry`](super::retry)).
     ConnectionBroke,
-    /// The database of its transaction stayed silent up to its deadline ([`retry`](super::retry)).
+    /// The database of its transaction didn't answer before its deadline ([`retry`](super::retry)).
     DatabaseSilent,
-    /// The database of its transaction refused it ([`retry`](super::retry)).
+    /// The database of its transaction refused it with this kind of failure ([`retry`](super::retry)).
     RefusedInTransaction(FailureKind),
-    /// Its transaction ended without a request.
+    /// The database ended its transaction without a request to do so.
     TransactionEnded,
-    /// Its transaction had failed before.
+    /// Its transaction had already failed.
     TransactionFailed,
-    /// The commit was lost, and nothing can have been kept ([`refuse`](super::refuse)).
+    /// The commit was lost, and its transaction can't have had any effect ([`refuse`](super::refuse)).
     LostBeforeCommit,
-    /// The transaction's database was replaced before the commit was answered.
+    /// Another database took the lead before the commit was answered.
     DatabaseReplaced,
     /// Its tenant has used up its quota (`quota`).
     OverQuota,
-    /// The node can't know whether its key still stands (`session`).
+    /// The node is out of contact and can't know whether its API key is still valid (`session`).
     KeyUncertain,
 }
 
--- a/crates/dyketally-gateway/src/decision/refuse.rs
+++ b/crates/dyketally-gateway/src/decision/refuse.rs
@@ -1,68 +1,71 @@
-//! What the caller receives for a statement that has no answer.
-//!
-//! That a statement has not run is said only with proof of it: every database and home that it was sent
-//! to has rejected it. `P` is that proof, and goes on into the refusal.
+//! Which error the caller receives for a statement without an answer. The caller is told that a statement
+//! has not run only if that is proven: every database and home that it was sent to has rejected it. `P` is
+//! the type of the proof, which is passed on into the error.
 
 use dyketally::statement::FailureKind;
 
 use crate::decision::Reason;
 
-/// What the caller receives.
+/// Error for a statement outside a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told<P> {
-    /// The statement has not run; the caller should come back.
+pub enum StatementError<P> {
+    /// The statement has not run; the caller may retry it.
     NotRun {
-        /// Why.
+        /// Why it was refused.
         refusal: FailureKind,
-        /// The proof.
+        /// Proof that the statement has not run.
         proof: P,
     },
     /// The statement may have run.
     InDoubt,
-    /// The statement's time ran out while it was at a database; it may have run.
+    /// The deadline passed while the statement was at a database; it may have run.
     TimedOut,
 }
 
-/// What the caller receives for a single statement that was given up for `reason`, where the last attempt was
-/// refused for `refusal`.
-pub fn single<P>(reason: Reason, refusal: FailureKind, not_run: Option<P>) -> Told<P> {
+/// The error for a statement that was given up for `reason` after its last attempt was refused for
+/// `refusal`.
+pub fn single_statement<P>(
+    reason: Reason,
+    refusal: FailureKind,
+    not_run: Option<P>,
+) -> StatementError<P> {
     let refusal = match reason {
         Reason::NothingMayServe => FailureKind::NotServedHere,
         _ => refusal,
     };
     match not_run {
-        Some(proof) => Told::NotRun { refusal, proof },
-        None if reason == Reason::DeadlinePassed => Told::TimedOut,
-        None => Told::InDoubt,
+        Some(proof) => StatementError::NotRun { refusal, proof },
+        None if reason == Reason::DeadlinePassed => StatementError::TimedOut,
+        None => StatementError::InDoubt,
     }
 }
 
-/// How a commit was lost.
+/// How the answer to a commit was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LostCommit {
-    /// Its connection broke.
-    Broke,
-    /// Its deadline passed.
+    /// The connection broke.
+    ConnectionBroke,
+    /// The deadline passed.
     DeadlinePassed,
 }
 
-/// What the caller receives for a commit that has no answer.
+/// Error for a commit without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ToldOfCommit {
+pub enum CommitError {
     /// The transaction is rolled back: it wrote nothing, or the commit has not run.
     RolledBack,
     /// The commit may have run.
     InDoubt,
-    /// The commit's time ran out; it may have run.
+    /// The deadline passed before the commit was answered; it may have run.
     TimedOut,
 }
 
-/// What the caller receives for a commit that was lost in a transaction that `wrote`, where `may_have_run`
-/// tells whether the commit may have run.
-pub fn commit(lost: LostCommit, wrote: bool, may_have_run: bool) -> ToldOfCommit {
+/// The error for a commit without an answer. `wrote` tells whether the transaction sent a write,
+/// `may_have_run` whether the commit may have run.
+pub fn commit(lost: LostCommit, wrote: bool, may_have_run: bool) -> CommitError {
     match lost {
-        _ if !wrote || !may_have_run => ToldOfCommit::RolledBack,
-        LostCommit::Broke => ToldOfCommit::InDoubt,
-        LostCommit::DeadlinePassed => ToldOfCommit::TimedOut,
+        _ if !wrote || !may_have_run => CommitError::RolledBack,
+        LostCommit::ConnectionBroke => CommitError::InDoubt,
+        LostCommit::DeadlinePassed => CommitError::TimedOut,
     }
 }
--- a/crates/dyketally-gateway/src/decision/retry.rs
+++ b/crates/dyketally-gateway/src/decision/retry.rs
@@ -1,8 +1,7 @@
-//! What is sent again, how often, and after which pause.
-//!
-//! A statement that was not run is always sent again while there is time. One whose answer was lost may
-//! have run: a read is simply run again, a write never, and a transaction is begun anew as long as only
-//! its first statement was sent, since nothing of it is kept before it commits.
+//! What is retried, how often, and after which pause. A statement that has not run is retried until its
+//! time is over. A statement whose answer was lost may have run: a read is retried, a write never. A
+//! transaction is started again if only its first statement was sent, since it has no effect before it
+//! commits.
 
 use std::time::Duration;
 
@@ -10,55 +9,55 @@
 
 use crate::decision::Operation;
 
-/// Pause before a statement that was not run is sent again. Not measured.
+/// Pause before a statement that has not run is retried.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(25);
-/// Attempts of one read, at most: a bound on what one statement may cost. Not measured.
-pub const ATTEMPTS_AT_MOST: u32 = 12;
-/// Attempts of one read that wait for answers at one time: as many as most groups have databases. Not
-/// measured.
-pub const RUNNING_AT_MOST: usize = 3;
+/// Maximum number of attempts of one read: bounds the cost of a statement.
+pub const MAX_ATTEMPTS: u32 = 12;
+/// Maximum number of attempts of one read that wait for answers at the same time: the number of databases
+/// that most groups have.
+pub const MAX_RUNNING_ATTEMPTS: usize = 3;
 
 /// Attempts of a read so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempts {
-    /// All that were made.
+    /// Number of attempts that were started.
     pub made: u32,
-    /// Those that still wait for a connection or an answer.
+    /// Number of attempts that still wait for a connection or an answer.
     pub running: usize,
 }
 
-/// True when a read may make one more attempt beside those that run.
-pub fn may_add(attempts: Attempts) -> bool {
-    attempts.running < RUNNING_AT_MOST && attempts.made < ATTEMPTS_AT_MOST
+/// True when a read may start another attempt beside those that are running.
+pub fn may_start_attempt(attempts: Attempts) -> bool {
+    attempts.running < MAX_RUNNING_ATTEMPTS && attempts.made < MAX_ATTEMPTS
 }
 
-/// Extra pause of a read whose attempt ended with `refusal`: a database that has no slot free gets a
-/// moment. Writes and transactions always pause for [`RETRY_PAUSE`].
-pub fn pause_of_read_after(refusal: FailureKind) -> Option<Duration> {
+/// Extra pause of a read after an attempt that ended with `refusal`: a database without a free slot gets a
+/// moment to free one. Writes and transactions always pause for [`RETRY_PAUSE`].
+pub fn read_pause_after(refusal: FailureKind) -> Option<Duration> {
     (refusal == FailureKind::Busy).then(|| RETRY_PAUSE / 2)
 }
 
 /// What becomes of a statement whose answer was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterLoss {
-    /// It is sent again.
-    SendAgain,
-    /// It isn't, and the refusal says that it may have run.
+    /// The statement is retried.
+    Retry,
+    /// The statement isn't retried, and its caller is told that it may have run.
     InDoubt,
 }
 
-/// Whether a statement is sent again whose answer was lost.
+/// Decides whether a statement whose answer was lost is retried.
 pub fn after_loss(operation: Operation) -> AfterLoss {
     match operation {
-        Operation::Read | Operation::FirstOfTransaction => AfterLoss::SendAgain,
+        Operation::Read | Operation::FirstOfTransaction => AfterLoss::Retry,
         Operation::Write => AfterLoss::InDoubt,
     }
 }
 
-/// True when a statement of a transaction that is open at a database is sent again there: the database
-/// was too busy to run it, and giving up would waste what the transaction has done. `time_left` is the
-/// time until the statement is given up.
-pub fn repeats_in_transaction(
+/// True when a statement of a transaction that is open at a database is retried on the same connection: the
+/// database was too busy to run it, and giving up would waste the work of the transaction. `time_left` is
+/// the time until the statement is given up.
+pub fn retries_in_transaction(
     refusal: Option<FailureKind>,
     state: TransactionState,
     time_left: Duration,
--- a/crates/dyketally-gateway/src/quota/mod.rs
+++ b/crates/dyketally-gateway/src/quota/mod.rs
@@ -4,7 +4,7 @@
 //! [`Quotas`] owns what this node has granted as an accountant, the operations that it may still permit,
 //! and what it learnt from questions. It relies on the fleet for the nodes and the way to them.
 
-mod question;
+mod permit_requests;
 mod reachability;
 
 use std::cell::RefCell;
@@ -18,7 +18,7 @@
 use dyketally::tenant::{Quota, Tenant};
 use tokio::time::Instant;
 
-use self::question::Questions;
+use self::permit_requests::PermitRequests;
 use self::reachability::Reachability;
 use crate::context::Context;
 use crate::fleet::Fleet;
@@ -26,7 +26,7 @@
 
 /// Nodes that share a quota at least, as far as a node goes that has nobody to ask: after a start it
 /// may not know yet how many there are.
-const NODES_ASSUMED: u32 = 32;
+const MIN_NODES_ASSUMED: u32 = 32;
 
 /// Quotas as this node keeps them.
 pub struct Quotas {
@@ -34,7 +34,7 @@
     fleet: Rc<Fleet>,
     accountant: RefCell<Accountant>,
     allowances: RefCell<HashMap<TenantName, Allowance>>,
-    questions: Questions,
+    permit_requests: PermitRequests,
     reachability: Reachability,
 }
 
@@ -47,7 +47,7 @@
             fleet,
             accountant: RefCell::new(Accountant::new(tolerated)),
             allowances: RefCell::default(),
-            questions: Questions::default(),
+            permit_requests: PermitRequests::default(),
             reachability: Reachability::default(),
         })
     }
@@ -121,8 +121,8 @@
         until: Instant,
     ) -> Result<(), QuotaExceeded> {
         let wanted = self.allowance(tenant, |allowance| allowance.wanted());
-        let Some(decision) = self.ask_accountants(tenant, wanted, until).await else {
-            return self.permit_alone(tenant, quota);
+        let Some(decision) = self.request_permits(tenant, wanted, until).await else {
+            return self.permit_without_accountant(tenant, quota);
         };
         match decision {
             Decision::Granted {
@@ -142,10 +142,14 @@
     }
 
     /// Decides without an accountant.
-    fn permit_alone(&self, tenant: &TenantName, quota: Quota) -> Result<(), QuotaExceeded> {
+    fn permit_without_accountant(
+        &self,
+        tenant: &TenantName,
+        quota: Quota,
+    ) -> Result<(), QuotaExceeded> {
         self.cx.counters.permits_alone.add();
         let nodes = u32::try_from(self.fleet.membership.node_count()).unwrap_or(u32::MAX);
-        let nodes = nodes.max(NODES_ASSUMED);
+        let nodes = nodes.max(MIN_NODES_ASSUMED);
         let now = self.cx.now();
         let alone = |allowance: &mut Allowance| allowance.take_alone(now, quota, nodes);
         let taken = self.allowance(tenant, alone);
@@ -167,7 +171,7 @@
         let mut accountant = self.accountant.borrow_mut();
         let decision = accountant.decide(now, tenant, quota, wanted, role, reach);
         if accountant.needs_reach(now, tenant, quota, role) {
-            self.find_reachability();
+            self.measure_reachability();
         }
         Some(decision)
     }
--- a/crates/dyketally-gateway/src/quota/question.rs
+++ b/crates/dyketally-gateway/src/quota/permit_requests.rs
@@ -18,25 +18,25 @@
 
 /// Nodes that may be asked: the accountant and its stand-ins. In a split, an operation on the side with 35%
 /// of the nodes finds none of eight there 3 times in 100 (0.65 to the power of 8), none of four 18 times.
-const ASKED_AT_MOST: usize = 8;
+const MAX_NODES_ASKED: usize = 8;
 /// How long an answer is waited for: twice the way to another region and back.
-const ANSWER_LIMIT: Duration = Duration::from_millis(90);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(90);
 /// Times that one node is asked for one operation, at most.
-const ASKED_TIMES: u32 = 3;
+const MAX_REQUESTS_PER_NODE: u32 = 3;
 /// Questions in a row that a node leaves unanswered before it is passed over for a while; one may have
 /// been lost under way.
-const MISSES_AT_MOST: u32 = 2;
+const MAX_MISSED_ANSWERS: u32 = 2;
 /// Questions in a row without any answer, and the time since the last answer, after which this node
 /// counts as cut off from all.
 const CUT_OFF_AFTER: u32 = 6;
 const CUT_OFF_SILENCE: Duration = Duration::from_secs(1);
 /// How long a node that counts as cut off asks nobody.
-const CUT_OFF_HOLDS: Duration = Duration::from_millis(600);
+const CUT_OFF_DURATION: Duration = Duration::from_millis(600);
 
 /// What was learnt from questions so far.
 #[derive(Default)]
-pub(super) struct Questions {
-    passed_over: PassedOver,
+pub(super) struct PermitRequests {
+    excluded: PassedOver,
     /// Questions that a node has left unanswered since its last answer.
     missed: RefCell<HashMap<SocketAddr, u32>>,
     /// Questions in a row that nobody answered, and when one was last answered.
@@ -45,25 +45,25 @@
     cut_off_since: Cell<Option<Instant>>,
 }
 
-impl Questions {
+impl PermitRequests {
     fn is_cut_off(&self) -> bool {
         let since = self.cut_off_since.get();
-        since.is_some_and(|since| since.elapsed() < CUT_OFF_HOLDS)
+        since.is_some_and(|since| since.elapsed() < CUT_OFF_DURATION)
     }
 
-    fn answered_by(&self, node: SocketAddr) {
+    fn record_answer(&self, node: SocketAddr) {
         self.missed.borrow_mut().remove(&node);
         self.unanswered.set(0);
         self.last_answer.set(Some(Instant::now()));
         self.cut_off_since.set(None);
     }
 
-    fn unanswered_by(&self, node: SocketAddr) {
+    fn record_timeout(&self, node: SocketAddr) {
         let mut missed = self.missed.borrow_mut();
         let missed = missed.entry(node).or_default();
         *missed += 1;
-        if *missed >= MISSES_AT_MOST {
-            self.passed_over.add(node);
+        if *missed >= MAX_MISSED_ANSWERS {
+            self.excluded.add(node);
         }
         self.unanswered.set(self.unanswered.get() + 1);
         let answer = self.last_answer.get();
@@ -77,14 +77,14 @@
 impl Quotas {
     /// What the accountant of `tenant`, or else a stand-in, says to a question for `wanted`
     /// operations; `None` when none of them answers.
-    pub(super) async fn ask_accountants(
+    pub(super) async fn request_permits(
         self: &Rc<Self>,
         tenant: &TenantName,
         wanted: u32,
         until: Instant,
     ) -> Option<Decision> {
         let peers = self.fleet.peers.borrow().clone()?;
-        let questions = &self.questions;
+        let permit_requests = &self.permit_requests;
         let mut role = Role::Accountant;
         for node in self.accountants(tenant) {
             let asked_as = std::mem::replace(&mut role, Role::StandIn);
@@ -93,18 +93,18 @@
             };
             // A node is left for the next only once it is passed over: two that hand out tokens for the
             // same nodes would hand out twice as many.
-            for _ in 0..ASKED_TIMES {
-                if questions.is_cut_off() || questions.passed_over.contains(&address) {
+            for _ in 0..MAX_REQUESTS_PER_NODE {
+                if permit_requests.is_cut_off() || permit_requests.excluded.contains(&address) {
                     break;
                 }
-                let answer = ask(&peers, address, (tenant, wanted, asked_as));
-                let limit = until.min(Instant::now() + ANSWER_LIMIT);
-                match tokio::time::timeout_at(limit, answer).await {
+                let answer = request_permit(&peers, address, (tenant, wanted, asked_as));
+                let timeout = until.min(Instant::now() + ANSWER_TIMEOUT);
+                match tokio::time::timeout_at(timeout, answer).await {
                     Ok(decision) => {
-                        questions.answered_by(address);
+                        permit_requests.record_answer(address);
                         return decision;
                     }
-                    Err(_) => questions.unanswered_by(address),
+                    Err(_) => permit_requests.record_timeout(address),
                 }
             }
         }
@@ -115,7 +115,7 @@
     fn accountants(&self, tenant: &TenantName) -> Vec<Option<SocketAddr>> {
         let nodes = self.fleet.membership.nodes();
         let candidates = nodes.values().map(|node| node.candidate());
-        let ranked = placement::accountants(tenant, candidates, ASKED_AT_MOST);
+        let ranked = placement::accountants(tenant, candidates, MAX_NODES_ASKED);
         let own = &self.cx.settings.node.name;
         let addresses = ranked.into_iter().filter_map(|name| match name == own {
             true => Some(None),
@@ -126,18 +126,18 @@
 }
 
 /// Asks one node.
-async fn ask(
+async fn request_permit(
     peers: &Rc<Peers>,
     address: SocketAddr,
     (tenant, wanted, role): (&TenantName, u32, Role),
 ) -> Option<Decision> {
     let mut replies = peers.collect_permits();
-    let question = PeerMessage::PermitAsked {
+    let request = PeerMessage::PermitAsked {
         round: replies.round,
         tenant: tenant.clone(),
         wanted,
         role,
     };
-    peers.send(address, &question);
+    peers.send(address, &request);
     replies.receiver.recv().await
 }
--- a/crates/dyketally-gateway/src/session/admission.rs
+++ b/crates/dyketally-gateway/src/session/admission.rs
@@ -8,7 +8,7 @@
 use dyketally::tenant::{ApiKey, Tenant};
 
 use crate::context::Context;
-use crate::statement::request::Served;
+use crate::statement::request::Response;
 
 /// What an operation may use, by the configuration in force as it began.
 #[derive(Clone)]
@@ -21,17 +21,17 @@
 
 impl Admission {
     /// What a caller with `key` may use that asks for `database`; or the refusal.
-    pub(super) fn of(cx: &Context, database: &str, key: &ApiKey) -> Result<Self, Served> {
+    pub(super) fn of(cx: &Context, database: &str, key: &ApiKey) -> Result<Self, Response> {
         let routes = cx.routes();
         let Some(route) = routes.routes.get(database) else {
-            return Err(Served::failed(
+            return Err(Response::failed(
                 FailureKind::UnknownDatabase,
                 "no route leads to this database; check its name",
             ));
         };
         if routes.needs_key(route) && !cx.keys_hold() {
             cx.counters.keys_uncertain.add();
-            return Err(Served::key_uncertain());
+            return Err(Response::key_uncertain());
         }
         match routes.identify(route, key) {
             Ok(tenant) => Ok(Self {
@@ -40,7 +40,7 @@
             }),
             Err(unknown) => {
                 cx.counters.unknown_keys.add();
-                Err(Served::failed(
+                Err(Response::failed(
                     FailureKind::Unauthenticated,
                     &unknown.to_string(),
                 ))
@@ -50,7 +50,7 @@
 
     /// True while a transaction that was admitted may go on. It goes on by the configuration that held
     /// as it began, but not while the node can't know whether its key still stands.
-    pub(super) fn holds(&self, cx: &Context) -> bool {
+    pub(super) fn is_valid(&self, cx: &Context) -> bool {
         self.tenant.is_none() || cx.keys_hold()
     }
 }
--- a/crates/dyketally-gateway/src/session/caller.rs
+++ b/crates/dyketally-gateway/src/session/caller.rs
@@ -12,23 +12,23 @@
 
 use super::Sessions;
 use super::admission::Admission;
-use super::room::Buffered;
+use super::load::BufferedInput;
 use crate::ports::{CallerMessage, Reply};
-use crate::statement::request::Served;
+use crate::statement::request::Response;
 
 /// Longest time from the connection to the first message.
-const INTRODUCTION_LIMIT: Duration = Duration::from_secs(5);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The same where the caller is refused whatever it asks for: each of them holds a descriptor.
-const REFUSAL_LIMIT: Duration = Duration::from_millis(500);
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest time that a new session waits for a first configuration.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(1_600);
 /// Longest time that a caller may take to accept an answer.
-const WRITE_LIMIT: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes reserved for each read.
 const READ_CHUNK: usize = 1_024;
 
 /// What a caller asks for as it connects.
-pub(super) struct Introduction {
+pub(super) struct ConnectRequest {
     /// The database.
     pub(super) database: String,
     /// What proves its tenant.
@@ -41,22 +41,22 @@
     stream: TcpStream,
     input: BytesMut,
     /// Its share of the input that this node keeps.
-    buffered: Buffered,
+    buffered: BufferedInput,
 }
 
 /// What a session waits for.
-pub(super) enum Next {
+pub(super) enum SessionEvent {
     Message(CallerMessage),
     Closed,
-    Garbage(String),
-    TransactionRested,
+    ProtocolError(String),
+    TransactionIdle,
     Stop,
 }
 
 impl Caller {
     /// A connection that was just accepted.
     pub(super) fn new(sessions: Rc<Sessions>, stream: TcpStream) -> Self {
-        let buffered = Buffered::none(&sessions.room);
+        let buffered = BufferedInput::none(&sessions.load);
         Self {
             sessions,
             stream,
@@ -66,9 +66,9 @@
     }
 
     /// Waits for the first message; `None` when no session comes of it.
-    pub(super) async fn introduce(&mut self) -> Option<Introduction> {
-        let message = tokio::time::timeout(INTRODUCTION_LIMIT, self.next_message()).await;
-        let Next::Message(CallerMessage::Connect { database, key }) = message.ok()? else {
+    pub(super) async fn handshake(&mut self) -> Option<ConnectRequest> {
+        let message = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.next_message()).await;
+        let SessionEvent::Message(CallerMessage::Connect { database, key }) = message.ok()? else {
             return None;
         };
         self.sessions
@@ -76,11 +76,11 @@
             .configured_by(Instant::now() + CONFIGURATION_WAIT)
             .await;
         if !self.sessions.cx.is_configured() {
-            let served = Served::failed(
+            let response = Response::failed(
                 FailureKind::Overloaded,
                 "this node has no configuration yet; connect to another one, or again later",
             );
-            self.refuse(served).await;
+            self.refuse(response).await;
             return None;
         }
         if let Err(refused) = Admission::of(&self.sessions.cx, &database, &key) {
@@ -92,44 +92,46 @@
             position: None,
         };
         self.write(&[ready]).await?;
-        Some(Introduction { database, key })
+        Some(ConnectRequest { database, key })
     }
 
     /// Waits for the first message for a moment, and tells the caller to go to another node.
-    pub(super) async fn refuse_introduction(&mut self) {
-        let message = tokio::time::timeout(REFUSAL_LIMIT, self.next_message()).await;
-        if let Ok(Next::Message(_)) = message {
-            let served = Served::failed(
+    pub(super) async fn refuse_handshake(&mut self) {
+        let message = tokio::time::timeout(REFUSAL_TIMEOUT, self.next_message()).await;
+        if let Ok(SessionEvent::Message(_)) = message {
+            let response = Response::failed(
                 FailureKind::Overloaded,
                 "this node has no room for another session; connect to another one",
             );
-            self.refuse(served).await;
+            self.refuse(response).await;
         }
     }
 
     /// Tells the caller why there is no session, or no longer one.
-    pub(super) async fn refuse(&mut self, served: Served) {
-        if let Err(failure) = served.end {
+    pub(super) async fn refuse(&mut self, response: Response) {
+        if let Err(failure) = response.end {
             // The caller may be gone already.
             let _ = self.write(&[Reply::Failed(failure)]).await;
         }
     }
 
     /// Waits for the next message.
-    pub(super) async fn next_message(&mut self) -> Next {
+    pub(super) async fn next_message(&mut self) -> SessionEvent {
         loop {
             match self.sessions.protocol.decode(&mut self.input) {
-                Ok(Some(message)) => return Next::Message(message),
+                Ok(Some(message)) => return SessionEvent::Message(message),
                 Ok(None) => {}
-                Err(error) => return Next::Garbage(error.to_string()),
+                Err(error) => return SessionEvent::ProtocolError(error.to_string()),
             }
             self.buffered.set(self.input.len());
             if !self.buffered.fits() {
-                return Next::Garbage("this node has no memory left for long messages".to_owned());
+                return SessionEvent::ProtocolError(
+                    "this node has no memory left for long messages".to_owned(),
+                );
             }
             self.input.reserve(READ_CHUNK);
             match self.stream.read_buf(&mut self.input).await {
-                Ok(0) | Err(_) => return Next::Closed,
+                Ok(0) | Err(_) => return SessionEvent::Closed,
                 Ok(_) => {}
             }
         }
@@ -137,33 +139,37 @@
 
     async fn write(&mut self, replies: &[Reply]) -> Option<()> {
         let mut output = BytesMut::new();
-        for reply in replies {
-            self.sessions.protocol.encode(reply, &mut output);
+        for response in replies {
+            self.sessions.protocol.encode(response, &mut output);
         }
         let writing = self.stream.write_all(&output);
-        let written = tokio::time::timeout(WRITE_LIMIT, writing).await;
+        let written = tokio::time::timeout(WRITE_TIMEOUT, writing).await;
         written.ok()?.ok()
     }
 
     /// Sends the answer to a statement; `None` when the caller is gone.
-    pub(super) async fn answer(&mut self, served: Served, state: TransactionState) -> Option<()> {
+    pub(super) async fn answer(
+        &mut self,
+        response: Response,
+        state: TransactionState,
+    ) -> Option<()> {
         let counters = &self.sessions.cx.counters;
-        match served.end {
+        match response.end {
             Ok(_) => counters.served.add(),
             Err(_) => counters.failed.add(),
         }
-        let rows = match served.end.is_ok() {
-            true => served.rows,
+        let rows = match response.end.is_ok() {
+            true => response.rows,
             false => Vec::new(),
         };
         let mut replies: Vec<Reply> = rows.into_iter().map(Reply::Row).collect();
-        replies.push(match served.end {
+        replies.push(match response.end {
             Ok(signature) => Reply::Complete(signature),
             Err(failure) => Reply::Failed(failure),
         });
         replies.push(Reply::Ready {
             state,
-            position: served.position,
+            position: response.position,
         });
         self.write(&replies).await
     }
--- a/crates/dyketally-gateway/src/session/room.rs
+++ b/crates/dyketally-gateway/src/session/load.rs
@@ -9,7 +9,7 @@
 use crate::event::Event;
 
 /// The sessions of this node against what it can hold.
-pub(super) struct Room {
+pub(super) struct SessionLoad {
     cx: Rc<Context>,
     capacity: Capacity,
     open: Cell<u32>,
@@ -18,7 +18,7 @@
     full: Cell<bool>,
 }
 
-impl Room {
+impl SessionLoad {
     /// No sessions yet.
     pub(super) fn new(cx: Rc<Context>) -> Rc<Self> {
         Rc::new(Self {
@@ -36,7 +36,7 @@
     }
 
     /// What becomes of one more.
-    pub(super) fn judge(&self) -> SessionVerdict {
+    pub(super) fn evaluate_next(&self) -> SessionVerdict {
         self.capacity.judge(self.open.get())
     }
 
@@ -54,21 +54,21 @@
 }
 
 /// A session that counts as open until this is dropped.
-pub(super) struct OpenSession(Rc<Room>);
+pub(super) struct OpenSession(Rc<SessionLoad>);
 
 impl OpenSession {
     /// Counts one more.
-    pub(super) fn begin(room: &Rc<Room>) -> Self {
-        let session = Self(room.clone());
-        session.count(room.open.get() + 1);
+    pub(super) fn begin(load: &Rc<SessionLoad>) -> Self {
+        let session = Self(load.clone());
+        session.count(load.open.get() + 1);
         session
     }
 
     fn count(&self, open: u32) {
-        let Self(room) = self;
-        if room.set_open(open) {
-            let full = room.is_full();
-            room.cx.events.write(&Event::SessionsFull { full, open });
+        let Self(load) = self;
+        if load.set_open(open) {
+            let full = load.is_full();
+            load.cx.events.write(&Event::SessionsFull { full, open });
         }
     }
 }
@@ -80,19 +80,19 @@
 }
 
 /// The input that one caller's connection keeps, given back when this is dropped.
-pub(super) struct Buffered {
+pub(super) struct BufferedInput {
     own: u64,
     all: Rc<Cell<u64>>,
     limit: Option<u64>,
 }
 
-impl Buffered {
+impl BufferedInput {
     /// Nothing yet.
-    pub(super) fn none(room: &Room) -> Self {
+    pub(super) fn none(load: &SessionLoad) -> Self {
         Self {
             own: 0,
-            all: room.buffered.clone(),
-            limit: room.capacity.input_bytes(),
+            all: load.buffered.clone(),
+            limit: load.capacity.input_bytes(),
         }
     }
 
@@ -109,7 +109,7 @@
     }
 }
 
-impl Drop for Buffered {
+impl Drop for BufferedInput {
     fn drop(&mut self) {
         self.set(0);
     }
--- a/crates/dyketally-gateway/src/session/mod.rs
+++ b/crates/dyketally-gateway/src/session/mod.rs
@@ -10,8 +10,8 @@
 
 mod admission;
 mod caller;
+mod load;
 mod operation;
-mod room;
 mod serving;
 
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 use dyketally::capacity::SessionVerdict;
 use tokio::net::{TcpListener, TcpStream};
 
-use self::caller::{Caller, Introduction};
-use self::room::{OpenSession, Room};
+use self::caller::{Caller, ConnectRequest};
+use self::load::{OpenSession, SessionLoad};
 use self::serving::Session;
 use crate::context::{Context, accept};
 use crate::database::connection::prepare_socket;
@@ -39,7 +39,7 @@
     protocol: SharedCallerProtocol,
     statements: Rc<Statements>,
     quotas: Rc<Quotas>,
-    room: Rc<Room>,
+    load: Rc<SessionLoad>,
 }
 
 impl Sessions {
@@ -50,45 +50,45 @@
         statements: Rc<Statements>,
         quotas: Rc<Quotas>,
     ) -> Rc<Self> {
-        let room = Room::new(cx.clone());
+        let load = SessionLoad::new(cx.clone());
         Rc::new(Self {
             cx,
             protocol,
             statements,
             quotas,
-            room,
+            load,
         })
     }
 
     /// How many are open, those that are being refused included.
     pub fn open(&self) -> usize {
-        self.room.open()
+        self.load.open()
     }
 
     /// True while no further ones should come.
     pub fn is_full(&self) -> bool {
-        self.room.is_full()
+        self.load.is_full()
     }
 
     /// Serves callers until the task is aborted.
     pub async fn serve_callers(self: Rc<Self>, listener: TcpListener) {
         loop {
             let stream = accept(&listener, ACCEPT_PAUSE).await;
-            admit(&self, stream);
+            handle_connection(&self, stream);
         }
     }
 }
 
 /// Serves a connection that a caller opened, or refuses it where there is no room.
-fn admit(sessions: &Rc<Sessions>, stream: TcpStream) {
-    let verdict = sessions.room.judge();
+fn handle_connection(sessions: &Rc<Sessions>, stream: TcpStream) {
+    let verdict = sessions.load.evaluate_next();
     if verdict != SessionVerdict::Serve {
         sessions.cx.counters.sessions_refused.add();
     }
     if verdict == SessionVerdict::Close {
         return;
     }
-    let open = OpenSession::begin(&sessions.room);
+    let open = OpenSession::begin(&sessions.load);
     let sessions = sessions.clone();
     tokio::task::spawn_local(async move {
         match verdict {
@@ -103,7 +103,7 @@
     prepare_socket(&stream);
     sessions.cx.counters.sessions.add();
     let mut caller = Caller::new(sessions.clone(), stream);
-    let Some(Introduction { database, key }) = caller.introduce().await else {
+    let Some(ConnectRequest { database, key }) = caller.handshake().await else {
         return;
     };
     let mut session = Session::new(&sessions, database, key);
@@ -114,5 +114,5 @@
 async fn refuse(sessions: Rc<Sessions>, stream: TcpStream, _open: OpenSession) {
     prepare_socket(&stream);
     let mut caller = Caller::new(sessions, stream);
-    caller.refuse_introduction().await;
+    caller.refuse_handshake().await;
 }
--- a/crates/dyketally-gateway/src/session/operation.rs
+++ b/crates/dyketally-gateway/src/session/operation.rs
@@ -15,8 +15,8 @@
 use crate::ports::CallerStatement;
 use crate::quota::QuotaExceeded;
 use crate::statement::dispatch::Dispatches;
-use crate::statement::ending::Decided;
-use crate::statement::request::{Execution, Request, Served};
+use crate::statement::ending::StatementOutcome;
+use crate::statement::request::{Execution, Request, Response};
 use crate::statement::transaction::Transaction;
 
 impl Session {
@@ -24,29 +24,29 @@
     pub(super) async fn commit(
         &mut self,
         statement: CallerStatement,
-    ) -> (Served, TransactionState) {
+    ) -> (Response, TransactionState) {
         let (Some(mut transaction), Some(admission)) =
             (self.transaction.take(), self.admission.clone())
         else {
             return (no_transaction(), TransactionState::Idle);
         };
-        let holds = admission.holds(&self.sessions.cx);
+        let key_is_valid = admission.is_valid(&self.sessions.cx);
         let request = self.request(statement, None, admission);
-        if !holds {
-            let served = self.give_up_uncertain(&mut transaction, &request);
-            return (served, TransactionState::Idle);
+        if !key_is_valid {
+            let response = self.roll_back_key_uncertain(&mut transaction, &request);
+            return (response, TransactionState::Idle);
         }
-        if let Err(served) = self.permit_transaction(&mut transaction, &request).await {
-            return (served, TransactionState::Idle);
+        if let Err(response) = self.permit_transaction(&mut transaction, &request).await {
+            return (response, TransactionState::Idle);
         }
         let answer = transaction
             .commit(&self.sessions.statements, &request)
             .await;
-        if transaction.wrote && answer.served.end.is_ok() {
-            self.note_commit(answer.served.position);
+        if transaction.wrote && answer.response.end.is_ok() {
+            self.record_commit(answer.response.position);
         }
-        request.log(&self.sessions.statements, &answer.served, answer.reason);
-        (answer.served, answer.state)
+        request.record_outcome(&self.sessions.statements, &answer.response, answer.reason);
+        (answer.response, answer.state)
     }
 
     /// Runs a read or write, on its own or in the transaction that is open.
@@ -55,80 +55,89 @@
         statement: CallerStatement,
         access: Access,
         execution: Option<Execution>,
-    ) -> (Served, TransactionState) {
+    ) -> (Response, TransactionState) {
         if let (Some(admission), true) = (&self.admission, self.transaction.is_some()) {
-            let holds = admission.holds(&self.sessions.cx);
+            let key_is_valid = admission.is_valid(&self.sessions.cx);
             let request = self.request(statement, execution, admission.clone());
-            return self.run_in_transaction(request, access, holds).await;
+            return self.run_in_transaction(request, access, key_is_valid).await;
         }
         let admission = match self.admit() {
             Ok(admission) => admission,
             Err(refused) => return (refused, TransactionState::Idle),
         };
         let request = self.request(statement, execution, admission);
-        let served = self.run_single(request, access).await;
-        (served, TransactionState::Idle)
+        let response = self.run_single(request, access).await;
+        (response, TransactionState::Idle)
     }
 
     async fn run_in_transaction(
         &mut self,
         request: Request,
         access: Access,
-        key_holds: bool,
-    ) -> (Served, TransactionState) {
+        key_is_valid: bool,
+    ) -> (Response, TransactionState) {
         let Some(mut transaction) = self.transaction.take() else {
             return (no_transaction(), TransactionState::Idle);
         };
-        if !key_holds {
-            let served = self.give_up_uncertain(&mut transaction, &request);
+        if !key_is_valid {
+            let response = self.roll_back_key_uncertain(&mut transaction, &request);
             self.transaction = Some(transaction);
-            return (served, TransactionState::Failed);
+            return (response, TransactionState::Failed);
         }
         let permitted = self.permit_transaction(&mut transaction, &request).await;
         let transaction = self.transaction.insert(transaction);
-        if let Err(served) = permitted {
+        if let Err(response) = permitted {
             transaction.failed = true;
-            return (served, TransactionState::Failed);
+            return (response, TransactionState::Failed);
         }
         let answer = transaction
             .run(&self.sessions.statements, &request, access)
             .await;
-        (answer.served, answer.state)
+        (answer.response, answer.state)
     }
 
     /// Rolls back a transaction whose key may have been taken away unnoticed.
-    fn give_up_uncertain(&self, transaction: &mut Transaction, request: &Request) -> Served {
+    fn roll_back_key_uncertain(
+        &self,
+        transaction: &mut Transaction,
+        request: &Request,
+    ) -> Response {
         self.sessions.cx.counters.keys_uncertain.add();
         transaction.roll_back();
         transaction.failed = true;
-        let served = Served::rolled_back();
-        request.log(&self.sessions.statements, &served, Reason::KeyUncertain);
-        served
+        let response = Response::rolled_back();
+        request.record_outcome(&self.sessions.statements, &response, Reason::KeyUncertain);
+        response
     }
 
-    async fn run_single(&mut self, request: Request, access: Access) -> Served {
+    async fn run_single(&mut self, request: Request, access: Access) -> Response {
         let request = Rc::new(request);
         let tenant = request.tenant.as_ref();
-        let permit = match self.sessions.quotas.permit(tenant, request.give_up()).await {
+        let permit = match self
+            .sessions
+            .quotas
+            .permit(tenant, request.latest_start())
+            .await
+        {
             Ok(permit) => permit,
             Err(exceeded) => {
-                let served = over_quota(&exceeded);
-                request.log(&self.sessions.statements, &served, Reason::OverQuota);
-                return served;
+                let response = over_quota(&exceeded);
+                request.record_outcome(&self.sessions.statements, &response, Reason::OverQuota);
+                return response;
             }
         };
-        let Decided { served, reason } = match access {
+        let StatementOutcome { response, reason } = match access {
             Access::Read => self.sessions.statements.serve_read(&request).await,
             Access::Write => self.sessions.statements.serve_write(&request).await,
         };
         if request.dispatches.proven_not_run().is_some() {
             permit.give_back();
         }
-        if access == Access::Write && served.end.is_ok() {
-            self.note_commit(served.position);
+        if access == Access::Write && response.end.is_ok() {
+            self.record_commit(response.position);
         }
-        request.log(&self.sessions.statements, &served, reason);
-        served
+        request.record_outcome(&self.sessions.statements, &response, reason);
+        response
     }
 
     /// Obtains a permit for a transaction that has none yet, before anything of it is sent.
@@ -136,14 +145,18 @@
         &self,
         transaction: &mut Transaction,
         request: &Request,
-    ) -> Result<(), Served> {
+    ) -> Result<(), Response> {
         if transaction.permit.is_none() {
             let tenant = request.tenant.as_ref();
-            let permit = self.sessions.quotas.permit(tenant, request.give_up()).await;
+            let permit = self
+                .sessions
+                .quotas
+                .permit(tenant, request.latest_start())
+                .await;
             let permit = permit.map_err(|exceeded| {
-                let served = over_quota(&exceeded);
-                request.log(&self.sessions.statements, &served, Reason::OverQuota);
-                served
+                let response = over_quota(&exceeded);
+                request.record_outcome(&self.sessions.statements, &response, Reason::OverQuota);
+                response
             })?;
             transaction.permit = Some(permit);
         }
@@ -151,11 +164,11 @@
     }
 
     /// What the next operation may use; or the refusal.
-    pub(super) fn admit(&self) -> Result<Admission, Served> {
+    pub(super) fn admit(&self) -> Result<Admission, Response> {
         Admission::of(&self.sessions.cx, &self.database, &self.key)
     }
 
-    fn note_commit(&mut self, position: Option<LogPosition>) {
+    fn record_commit(&mut self, position: Option<LogPosition>) {
         self.own_commit = self.own_commit.max(position);
     }
 
@@ -184,12 +197,12 @@
     }
 }
 
-fn over_quota(exceeded: &QuotaExceeded) -> Served {
-    Served::over_quota(exceeded.retry_after)
+fn over_quota(exceeded: &QuotaExceeded) -> Response {
+    Response::over_quota(exceeded.retry_after)
 }
 
-fn no_transaction() -> Served {
-    Served::failed(
+fn no_transaction() -> Response {
+    Response::failed(
         FailureKind::Malformed,
         "no transaction is open; begin one first",
     )
--- a/crates/dyketally-gateway/src/session/serving.rs
+++ b/crates/dyketally-gateway/src/session/serving.rs
@@ -12,10 +12,10 @@
 
 use super::Sessions;
 use super::admission::Admission;
-use super::caller::{Caller, Next};
+use super::caller::{Caller, SessionEvent};
 use crate::context::StopPhase;
 use crate::ports::{CallerMessage, CallerStatement};
-use crate::statement::request::{Execution, Served};
+use crate::statement::request::{Execution, Response};
 use crate::statement::transaction::Transaction;
 
 /// What signs a statement that the gateway answers itself.
@@ -54,51 +54,51 @@
     /// Serves its statements one after the other, until the caller leaves or the process stops.
     pub(super) async fn run(&mut self, caller: &mut Caller) {
         loop {
-            match self.next(caller).await {
-                Next::Message(CallerMessage::Statement(statement)) => {
-                    let (served, state) = self.serve(statement).await;
-                    if caller.answer(served, state).await.is_none() {
+            match self.next_event(caller).await {
+                SessionEvent::Message(CallerMessage::Statement(statement)) => {
+                    let (response, state) = self.serve(statement).await;
+                    if caller.answer(response, state).await.is_none() {
                         return;
                     }
                 }
-                Next::TransactionRested => self.end_rested_transaction(),
-                Next::Garbage(reason) => {
-                    let served = Served::failed(FailureKind::Malformed, &reason);
-                    caller.refuse(served).await;
+                SessionEvent::TransactionIdle => self.roll_back_idle_transaction(),
+                SessionEvent::ProtocolError(reason) => {
+                    let response = Response::failed(FailureKind::Malformed, &reason);
+                    caller.refuse(response).await;
                     return;
                 }
-                Next::Message(_) | Next::Closed | Next::Stop => return,
+                SessionEvent::Message(_) | SessionEvent::Closed | SessionEvent::Stop => return,
             }
         }
     }
 
-    async fn next(&self, caller: &mut Caller) -> Next {
-        let rest_limit = match self.open_transaction() {
+    async fn next_event(&self, caller: &mut Caller) -> SessionEvent {
+        let idle_limit = match self.has_active_transaction() {
             true => self.sessions.cx.routes().transaction_idle,
             false => None,
         };
-        let rested = async {
-            match rest_limit {
+        let idle = async {
+            match idle_limit {
                 Some(limit) => tokio::time::sleep(limit).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             biased;
-            next = caller.next_message() => next,
-            () = rested => Next::TransactionRested,
-            () = self.must_stop() => Next::Stop,
+            event = caller.next_message() => event,
+            () = idle => SessionEvent::TransactionIdle,
+            () = self.stop_requested() => SessionEvent::Stop,
         }
     }
 
-    fn open_transaction(&self) -> bool {
+    fn has_active_transaction(&self) -> bool {
         let transaction = self.transaction.as_ref();
         transaction.is_some_and(|transaction| !transaction.failed)
     }
 
     /// Waits until a planned stop asks this session to end: between operations as soon as
     /// callers have other nodes to go to, later within a transaction.
-    async fn must_stop(&self) {
+    async fn stop_requested(&self) {
         let phase = match self.transaction.is_some() {
             true => StopPhase::EndingTransactions,
             false => StopPhase::ClosingSessions,
@@ -106,25 +106,25 @@
         self.sessions.cx.stop.entered(phase).await;
     }
 
-    fn end_rested_transaction(&mut self) {
+    fn roll_back_idle_transaction(&mut self) {
         if let Some(transaction) = &mut self.transaction {
             transaction.roll_back();
             transaction.failed = true;
         }
     }
 
-    async fn serve(&mut self, statement: CallerStatement) -> (Served, TransactionState) {
+    async fn serve(&mut self, statement: CallerStatement) -> (Response, TransactionState) {
         let failed = self.transaction.as_ref().is_some_and(|open| open.failed);
         let ends = matches!(
             statement.kind,
             StatementKind::Commit | StatementKind::Rollback
         );
         if failed && !ends {
-            let served = Served::failed(
+            let response = Response::failed(
                 FailureKind::Malformed,
                 "the transaction has failed; roll it back",
             );
-            return (served, TransactionState::Failed);
+            return (response, TransactionState::Failed);
         }
         match statement.kind.clone() {
             StatementKind::Begin { read_only } => self.begin(read_only),
@@ -149,11 +149,11 @@
             }
             StatementKind::Execute { name, arguments } => {
                 let Some(prepared) = self.prepared.get(&name).cloned() else {
-                    let served = Served::failed(
+                    let response = Response::failed(
                         FailureKind::UnknownPrepared,
                         "no statement is prepared under this name; prepare it first",
                     );
-                    return (served, self.state());
+                    return (response, self.state());
                 };
                 let access = prepared.access;
                 let execution = Execution {
@@ -173,13 +173,13 @@
         }
     }
 
-    fn begin(&mut self, read_only: bool) -> (Served, TransactionState) {
+    fn begin(&mut self, read_only: bool) -> (Response, TransactionState) {
         if self.transaction.is_some() {
-            let served = Served::failed(
+            let response = Response::failed(
                 FailureKind::Malformed,
                 "a transaction is open already; end it first",
             );
-            return (served, self.state());
+            return (response, self.state());
         }
         match self.admit() {
             Ok(admission) => self.admission = Some(admission),
@@ -189,7 +189,7 @@
         (own_success(), TransactionState::Open)
     }
 
-    fn roll_back(&mut self) -> (Served, TransactionState) {
+    fn roll_back(&mut self) -> (Response, TransactionState) {
         if let Some(mut transaction) = self.transaction.take() {
             transaction.roll_back();
         }
@@ -197,8 +197,8 @@
     }
 }
 
-fn own_success() -> Served {
-    Served {
+fn own_success() -> Response {
+    Response {
         rows: Vec::new(),
         end: Ok(Bytes::from_static(OWN_SIGNATURE)),
         position: None,
--- a/crates/dyketally-gateway/src/statement/attempt.rs
+++ b/crates/dyketally-gateway/src/statement/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to serve a statement at a database.
+//! One attempt to run a statement at a database.
 
 use std::rc::Rc;
 
@@ -7,49 +7,51 @@
 use crate::database::claim::Work;
 use crate::database::connection::{Answer, Broken};
 use crate::database::target::Target;
-use crate::decision::choose::Proof;
+use crate::decision::choose::FreshnessCheck;
 use crate::decision::{Operation, learn};
 use crate::fleet::access::ExchangeError;
 use crate::fleet::connection::DatabaseConnection;
 use crate::statement::Statements;
 use crate::statement::request::Request;
 
-/// What became of one attempt.
-pub enum Attempt {
-    /// The database answered, and what it says is final.
+/// Outcome of an attempt.
+pub enum AttemptOutcome {
+    /// The database gave the final answer.
     Answered(Answer),
-    /// The statement was not run.
+    /// The statement has not run.
     NotRun(FailureKind),
-    /// The statement was sent and there was no whole answer.
+    /// The statement was sent, and its answer was lost or incomplete.
     Lost(Broken),
 }
 
-impl Attempt {
-    /// The database ended the batch early.
+impl AttemptOutcome {
+    /// The database ended the batch before it sent all answers.
     pub(super) fn without_all_answers() -> Self {
-        Self::Lost(Broken::new("the database gave no answer"))
+        Self::Lost(Broken::new(
+            "the database ended the batch before it sent all answers",
+        ))
     }
 }
 
 impl Statements {
-    /// What an attempt comes to whose batch has no answers.
+    /// The outcome of an attempt whose batch has no answers.
     pub(super) fn without_answer(
         self: &Rc<Self>,
         operation: Operation,
-        (target, proof): (&Target, Proof),
+        (target, check): (&Target, FreshnessCheck),
         unanswered: ExchangeError,
-    ) -> Attempt {
+    ) -> AttemptOutcome {
         match unanswered {
             ExchangeError::NotRun(kind) => {
-                let lesson = learn::from_refusal_without_answer(operation, proof, kind);
-                self.learn(target, lesson);
-                Attempt::NotRun(kind)
+                let feedback = learn::from_refusal_without_answer(operation, check, kind);
+                self.apply_feedback(target, feedback);
+                AttemptOutcome::NotRun(kind)
             }
-            ExchangeError::Lost(broken) => Attempt::Lost(broken),
+            ExchangeError::Lost(broken) => AttemptOutcome::Lost(broken),
         }
     }
 
-    /// A connection to `target` for `work` of `request`, or why there is none.
+    /// Checks out a connection to `target` for `work` of `request`; on failure tells why there is none.
     pub(super) async fn checkout(
         self: &Rc<Self>,
         request: &Request,
--- a/crates/dyketally-gateway/src/statement/choose.rs
+++ b/crates/dyketally-gateway/src/statement/choose.rs
@@ -1,7 +1,6 @@
-//! The databases that may serve a statement, ranked by [`crate::decision::choose`].
-//!
-//! Collects what the rule asks for: the group's databases as the directory lists them, what this node has
-//! seen of them, and the position that the statement needs.
+//! Chooses the database for a statement, by the rules in [`crate::decision::choose`]. Collects the inputs
+//! of the rules: the group's databases in the directory, what this node has observed of them, and the
+//! position that the statement needs.
 
 use std::rc::Rc;
 
@@ -14,38 +13,41 @@
 
 use crate::database::target::Target;
 use crate::decision::Operation;
-use crate::decision::choose::{self, Candidate, Pick, Preferences, Proof, Way};
+use crate::decision::choose::{
+    self, Candidate, FreshnessCheck, NextStep, RankingInputs, Selection,
+};
 use crate::decision::retry::RETRY_PAUSE;
 use crate::statement::Statements;
 use crate::statement::request::Request;
 
-/// A database for a statement.
-pub(super) struct Choice {
+/// The database chosen for a statement.
+pub(super) struct ChosenDatabase {
     /// The database.
     pub(super) target: Target,
-    /// How its answer proves that it is fresh enough.
-    pub(super) proof: Proof,
+    /// What the database checks before it runs the statement, so that the answer is fresh enough.
+    pub(super) check: FreshnessCheck,
 }
 
-impl Choice {
+impl ChosenDatabase {
     fn leads(target: Target) -> Self {
         Self {
             target,
-            proof: Proof::Leads,
+            check: FreshnessCheck::Leads,
         }
     }
 }
 
 impl Statements {
-    /// A database for a read, or for the first statement of a transaction, that has to see what `need`
-    /// tells, or needs the primary. Each that was chosen is `tried`; once all were, they go round again.
+    /// Chooses a database for a read or for the first statement of a transaction. `need` tells which commits it
+    /// has to see; with `None` it needs the primary. Adds the database to `tried`; once all were tried, the
+    /// list starts over.
     pub(super) async fn choose(
         self: &Rc<Self>,
         request: &Request,
         operation: Operation,
         need: Option<FreshnessNeed>,
         tried: &mut Vec<DatabaseName>,
-    ) -> Option<Choice> {
+    ) -> Option<ChosenDatabase> {
         let choice = match need {
             Some(need) => self.choose_fresh(request, operation, need, tried).await?,
             None => self.choose_primary(request, operation).await?,
@@ -58,16 +60,16 @@
         self: &Rc<Self>,
         request: &Request,
         operation: Operation,
-    ) -> Option<Choice> {
+    ) -> Option<ChosenDatabase> {
         if operation == Operation::Read {
             self.cx.counters.reads_bound_to_primaries.add();
         }
-        let until = request.give_up().min(Instant::now() + RETRY_PAUSE);
+        let until = request.latest_start().min(Instant::now() + RETRY_PAUSE);
         let primary =
             self.leadership
                 .confirmations
                 .primary_by(&request.route.group, &request.regions, until);
-        primary.await.ok().map(Choice::leads)
+        primary.await.ok().map(ChosenDatabase::leads)
     }
 
     async fn choose_fresh(
@@ -76,41 +78,41 @@
         operation: Operation,
         need: FreshnessNeed,
         tried: &mut Vec<DatabaseName>,
-    ) -> Option<Choice> {
+    ) -> Option<ChosenDatabase> {
         let group = &request.route.group;
         let known = self.known_position(request, &need);
-        let best = match known.is_some() || choose::ranks_before_asking(operation) {
-            true => Some(self.first_untried(request, known, tried)?),
+        let best = match known.is_some() || choose::ranks_before_position_request(operation) {
+            true => Some(self.select(request, known, tried)?),
             false => None,
         };
         let best_leads = best.as_ref().is_some_and(|best| best.leads);
-        let proof = match choose::way(operation, known, best_leads) {
-            Way::Prove(proof) => proof,
-            Way::AskForPosition => {
+        let check = match choose::next_step(operation, known, best_leads) {
+            NextStep::Send(check) => check,
+            NextStep::RequestPosition => {
                 let asked = self.leadership.confirmations.ensure_observation(
                     group,
                     need.covered,
-                    request.give_up(),
+                    request.latest_start(),
                 );
                 let known = match asked.await {
                     Some(_) => self.known_position(request, &need),
                     None => None,
                 };
-                choose::proof_after_asking(operation, known)?
+                choose::check_after_position_request(operation, known)?
             }
         };
-        let target = match (proof, best) {
-            (Proof::Leads, _) => self
+        let target = match (check, best) {
+            (FreshnessCheck::Leads, _) => self
                 .databases
                 .primary_target(group, &request.regions)
                 .ok()?,
-            (Proof::Holds(_), Some(best)) => best,
-            (Proof::Holds(position), None) => self.first_untried(request, Some(position), tried)?,
+            (FreshnessCheck::Holds(_), Some(best)) => best,
+            (FreshnessCheck::Holds(needed), None) => self.select(request, Some(needed), tried)?,
         };
-        Some(Choice { target, proof })
+        Some(ChosenDatabase { target, check })
     }
 
-    /// True when a database that wasn't tried may serve a statement that has to see what `need` tells.
+    /// True when an untried database may serve a statement that has to see the commits of `need`.
     pub(super) fn has_alternative(
         &self,
         request: &Request,
@@ -127,14 +129,14 @@
             .any(|(candidate, target)| candidate.is_alternative() && !tried.contains(&target.name))
     }
 
-    /// The position that a log must hold to meet `need`, if an observation tells it.
+    /// The position that a log must hold to meet `need`, if this node has a recent enough observation.
     fn known_position(&self, request: &Request, need: &FreshnessNeed) -> Option<LogPosition> {
         let group = self.databases.group(&request.route.group);
         need.position(&group.observations.borrow())
     }
 
-    /// The best database that wasn't tried; once all were, the best of all, and `tried` begins anew.
-    fn first_untried(
+    /// The best database that wasn't tried; once all were tried, the best of all, and `tried` is cleared.
+    fn select(
         &self,
         request: &Request,
         needed: Option<LogPosition>,
@@ -142,9 +144,9 @@
     ) -> Option<Target> {
         let ranked = self.ranked(request, needed);
         let was_tried = |(_, target): &(Candidate, Target)| tried.contains(&target.name);
-        match choose::next(ranked, was_tried) {
-            Some(Pick::Untried((_, target))) => Some(target),
-            Some(Pick::Again((_, target))) => {
+        match choose::select_next(ranked, was_tried) {
+            Some(Selection::Untried((_, target))) => Some(target),
+            Some(Selection::Restart((_, target))) => {
                 tried.clear();
                 Some(target)
             }
@@ -155,7 +157,7 @@
         }
     }
 
-    /// The databases that may serve a statement whose log must hold `needed`, best first.
+    /// The databases that may serve a statement that needs the position `needed`, best first.
     fn ranked(&self, request: &Request, needed: Option<LogPosition>) -> Vec<(Candidate, Target)> {
         let group = &request.route.group;
         let directory = self.databases.directory.borrow();
@@ -171,11 +173,11 @@
             (self.candidate(member, &target, needed), target)
         });
         let usual_lag = self.databases.replica_lag.get().value(self.cx.now());
-        let preferences = Preferences {
+        let inputs = RankingInputs {
             primary_penalty_ms: self.cx.settings.reads.primary_penalty_ms,
-            is_too_new: self.databases.age_of(group, needed) < usual_lag,
+            replicas_likely_behind: self.databases.age_of(group, needed) < usual_lag,
         };
-        choose::ranked(candidates.collect(), preferences)
+        choose::ranked(candidates.collect(), inputs)
     }
 
     fn candidate(
@@ -191,14 +193,14 @@
             latency_ms: state.latency_estimate(idle_ms, member.announcement.slots),
             distance: self.databases.distance(member),
             was_behind: needed.is_some_and(|needed| state.is_behind(needed)),
-            is_cold: !self.draws(target),
+            is_cold: !self.admits_in_slow_start(target),
             is_suspended: state.is_suspended(),
         }
     }
 
-    /// Whether a read may go to `target` before warm databases: not while it is cold, and then more and
-    /// more often.
-    fn draws(&self, target: &Target) -> bool {
+    /// Whether a read may go to `target` like to a warm database. During slow start a random sample decides, by
+    /// a share that grows up to 1.
+    fn admits_in_slow_start(&self, target: &Target) -> bool {
         let share = self.databases.pacer(&target.name).share();
         share >= 1.0 || rand::random_bool(share)
     }
--- a/crates/dyketally-gateway/src/statement/dispatch.rs
+++ b/crates/dyketally-gateway/src/statement/dispatch.rs
@@ -1,48 +1,46 @@
-//! Whether a statement may have run.
-//!
-//! A statement that is handed to a connection counts as one that may have run, whatever becomes of
-//! the connection, until a database or a home says that it hasn't. Callers are told that a statement
-//! hasn't run only with the [`ProvenNotRun`] of its dispatches.
+//! Tracks whether a statement may have run. A statement that is passed to a connection counts as one that
+//! may have run, even if the connection breaks, until a database or a home replies that it has not. Callers
+//! are told that a statement has not run only with a [`ProvenNotRun`] of its dispatches.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The dispatches of one statement to connections, over all attempts.
+/// The dispatches of a statement to connections, over all its attempts.
 #[derive(Clone, Debug, Default)]
 pub struct Dispatches {
-    /// Those that weren't rejected.
-    standing: Rc<Cell<u32>>,
+    /// Number of dispatches that weren't rejected.
+    not_rejected: Rc<Cell<u32>>,
 }
 
-/// One dispatch. Dropping it leaves it standing: the statement may have run.
+/// One dispatch. Unless it is marked as rejected, the statement may have run; dropping it changes nothing.
 #[derive(Debug)]
-#[must_use = "a rejected dispatch has to be taken back"]
+#[must_use = "call `rejected` if the database or a home has not run the statement"]
 pub struct Dispatch {
-    standing: Rc<Cell<u32>>,
+    not_rejected: Rc<Cell<u32>>,
 }
 
-/// Proof that a statement hasn't run, and isn't about to.
+/// Proof that a statement has not run and won't run.
 #[derive(Debug)]
 pub struct ProvenNotRun(());
 
 impl Dispatches {
-    /// Records that the statement is about to be handed to a connection.
+    /// Records that the statement is about to be passed to a connection.
     pub fn begin(&self) -> Dispatch {
-        self.standing.set(self.standing.get() + 1);
+        self.not_rejected.set(self.not_rejected.get() + 1);
         Dispatch {
-            standing: self.standing.clone(),
+            not_rejected: self.not_rejected.clone(),
         }
     }
 
-    /// Set when every dispatch was rejected, or none was made.
+    /// The proof, if no dispatch was made or all were rejected.
     pub fn proven_not_run(&self) -> Option<ProvenNotRun> {
-        (self.standing.get() == 0).then_some(ProvenNotRun(()))
+        (self.not_rejected.get() == 0).then_some(ProvenNotRun(()))
     }
 }
 
 impl Dispatch {
-    /// Records that a database or a home said that it hasn't run the statement.
+    /// Records that a database or a home replied that it has not run the statement.
     pub fn rejected(self) {
-        self.standing.set(self.standing.get() - 1);
+        self.not_rejected.set(self.not_rejected.get() - 1);
     }
 }
--- a/crates/dyketally-gateway/src/statement/ending.rs
+++ b/crates/dyketally-gateway/src/statement/ending.rs
@@ -1,4 +1,4 @@
-//! How statements end: what the rules on giving up ask for, and what is done as they say.
+//! How statements end: collects the inputs of the give-up rules and carries out their results.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,25 +10,25 @@
 
 use crate::database::connection::Broken;
 use crate::database::target::Target;
-use crate::decision::give_up::{self, Circumstances, Primary};
-use crate::decision::learn::Lesson;
+use crate::decision::give_up::{self, GiveUpInputs, PrimaryState};
+use crate::decision::learn::Feedback;
 use crate::decision::{Operation, Reason, refuse};
 use crate::statement::Statements;
-use crate::statement::request::{Request, Served};
+use crate::statement::request::{Request, Response};
 
 /// What a caller receives for a statement, and why.
-pub struct Decided {
-    /// The answer or refusal.
-    pub served: Served,
-    /// Why, for the log.
+pub struct StatementOutcome {
+    /// Answer or error for the caller.
+    pub response: Response,
+    /// Why the statement ended so, for the log.
     pub reason: Reason,
 }
 
-impl Decided {
-    /// A database answered.
-    pub fn answered(served: Served) -> Self {
+impl StatementOutcome {
+    /// A database answered the statement.
+    pub fn answered(response: Response) -> Self {
         Self {
-            served,
+            response,
             reason: Reason::Answered,
         }
     }
@@ -36,26 +36,26 @@
     /// The answer was lost, and the statement may have run.
     pub(super) fn in_doubt(broken: &Broken) -> Self {
         Self {
-            served: Served::in_doubt(&broken.reason),
+            response: Response::in_doubt(&broken.reason),
             reason: Reason::AnswerLost,
         }
     }
 }
 
-/// What is known as an attempt of a statement has ended, looked up as the rule asks for it.
-pub(super) struct Known<'a> {
+/// Inputs of the give-up rules after an attempt, looked up when a rule asks for them.
+pub(super) struct LiveInputs<'a> {
     pub(super) statements: &'a Statements,
     pub(super) request: &'a Request,
-    /// What the statement has to see; `None` when it needs the primary.
+    /// Commits that the statement has to see; `None` when it needs the primary.
     pub(super) need: Option<FreshnessNeed>,
     /// Databases that were tried.
     pub(super) tried: &'a [DatabaseName],
-    /// Attempts that still run.
+    /// Number of attempts that are still running.
     pub(super) running: usize,
 }
 
-impl Known<'_> {
-    /// Why no database may serve the statement before the configuration changes.
+impl LiveInputs<'_> {
+    /// Why no database may serve the statement until the configuration changes; `None` when one may.
     fn denial(&self) -> Option<Denial> {
         let Self {
             statements,
@@ -68,28 +68,33 @@
             .denied_for_good(&request.route.group, &intent)
     }
 
-    /// Why the statement is given up after an attempt, if it is; with what goes with that.
-    pub(super) fn judge(&self, operation: Operation, attempt: give_up::Attempt) -> Option<Reason> {
+    /// Why the statement is given up after an attempt; `None` when it goes on. Records a missing primary, and
+    /// reports a statement that no database may serve.
+    pub(super) fn reason_to_give_up(
+        &self,
+        operation: Operation,
+        attempt: give_up::UnansweredAttempt,
+    ) -> Option<Reason> {
         let Self {
             statements,
             request,
             ..
         } = self;
-        let verdict = give_up::after_attempt(operation, attempt, self);
-        if verdict.missed_primary {
+        let after = give_up::after_attempt(operation, attempt, self);
+        if after.found_no_primary {
             let group = statements.databases.group(&request.route.group);
             group.availability.attempt_failed();
         }
-        if verdict.give_up == Some(Reason::NothingMayServe)
+        if after.give_up == Some(Reason::NothingMayServe)
             && let Some(denial) = self.denial()
         {
             statements.report_unserved(request, denial);
         }
-        verdict.give_up
+        after.give_up
     }
 }
 
-impl Circumstances for Known<'_> {
+impl GiveUpInputs for LiveInputs<'_> {
     fn elapsed(&self) -> Duration {
         let now = self.statements.cx.now();
         now.saturating_since(self.request.arrived)
@@ -99,15 +104,15 @@
         self.request.route.latency_objective
     }
 
-    fn primary(&self) -> Primary {
+    fn primary(&self) -> PrimaryState {
         let group = &self.request.route.group;
         match self.statements.databases.primary_missing_for(group) {
-            None => Primary::Usable,
-            Some(since_first) => Primary::Missing { since_first },
+            None => PrimaryState::Usable,
+            Some(since_first) => PrimaryState::Missing { since_first },
         }
     }
 
-    fn something_may_serve(&self) -> bool {
+    fn any_database_may_serve(&self) -> bool {
         self.denial().is_none()
     }
 
@@ -115,34 +120,34 @@
         self.running
     }
 
-    fn has_untried(&self) -> bool {
+    fn has_untried_database(&self) -> bool {
         self.statements
             .has_alternative(self.request, self.need, self.tried)
     }
 }
 
 impl Statements {
-    /// Applies what a refusal or an answer told of `target`.
-    pub(super) fn learn(self: &Rc<Self>, target: &Target, lesson: Option<Lesson>) {
-        match lesson {
+    /// Records what a refusal or an answer shows about `target`.
+    pub(super) fn apply_feedback(self: &Rc<Self>, target: &Target, feedback: Option<Feedback>) {
+        match feedback {
             None => {}
-            Some(Lesson::Follows) => self.leadership.confirmations.refused_as_primary(target),
-            Some(Lesson::Behind {
+            Some(Feedback::Follows) => self.leadership.confirmations.refused_as_primary(target),
+            Some(Feedback::Behind {
                 needed,
-                counts_for_lag,
+                updates_lag_estimate,
             }) => {
                 target.state.was_behind(needed);
-                if counts_for_lag {
+                if updates_lag_estimate {
                     self.cx.counters.reads_behind.add();
                     self.databases.replica_showed(&target.group, needed, false);
                 }
             }
-            Some(Lesson::Holds {
+            Some(Feedback::Holds {
                 needed,
-                counts_for_lag,
+                updates_lag_estimate,
             }) => {
                 target.state.was_fresh();
-                if counts_for_lag {
+                if updates_lag_estimate {
                     self.databases.replica_showed(&target.group, needed, true);
                 }
             }
@@ -151,15 +156,15 @@
 }
 
 impl Request {
-    /// What the caller receives when the statement is given up for `reason`, where the last attempt was
-    /// refused for `refusal`: that it hasn't run, but only if that is so.
-    pub(super) fn given_up(&self, reason: Reason, refusal: FailureKind) -> Decided {
+    /// The outcome for a statement that is given up for `reason` after its last attempt was refused for
+    /// `refusal`. The caller is told that it has not run only if that is proven.
+    pub(super) fn given_up(&self, reason: Reason, refusal: FailureKind) -> StatementOutcome {
         let proof = self.dispatches.proven_not_run();
-        let served = match refuse::single(reason, refusal, proof) {
-            refuse::Told::NotRun { refusal, proof } => Served::not_run(refusal, proof),
-            refuse::Told::InDoubt => Served::in_doubt("an attempt got no answer that counts"),
-            refuse::Told::TimedOut => Served::timed_out(),
+        let response = match refuse::single_statement(reason, refusal, proof) {
+            refuse::StatementError::NotRun { refusal, proof } => Response::not_run(refusal, proof),
+            refuse::StatementError::InDoubt => Response::in_doubt("an attempt was not answered"),
+            refuse::StatementError::TimedOut => Response::timed_out(),
         };
-        Decided { served, reason }
+        StatementOutcome { response, reason }
     }
 }
--- a/crates/dyketally-gateway/src/statement/mod.rs
+++ b/crates/dyketally-gateway/src/statement/mod.rs
@@ -1,12 +1,10 @@
-//! Statements on their way: requests, the choice of a database, reads, writes and transactions.
-//!
-//! [`Statements`] serves single statements (`read`, `write`); a [`transaction`] is held by its session and
-//! served by the same part. Each collects what the rules in [`crate::decision`] ask for, and does as told:
-//! `choose` finds a database, `attempt` sends to it, `ending` tells why a statement ends and what its caller
-//! receives. [`dispatch`] keeps count of whether a statement may have run.
-//!
-//! Owns no state but when the log reported last that nothing may serve a group. Relies on `database`,
-//! `fleet` for access to databases, and `succession` for who leads.
+//! Serves statements: requests, the choice of a database, reads, writes and transactions. [`Statements`]
+//! serves single statements (`read`, `write`) and those of a [`transaction`], which is owned by its
+//! session. Both collect the inputs of the rules in [`crate::decision`] and carry out their results:
+//! `choose` finds a database, `attempt` sends to it, `ending` decides why a statement ends and what its
+//! caller receives. [`dispatch`] tracks whether a statement may have run. The only state is the time of the
+//! last log line about a group that no database may serve. Depends on `database`, on `fleet` for access to
+//! databases, and on `succession` for leadership.
 
 mod attempt;
 mod choose;
@@ -26,7 +24,7 @@
 use crate::fleet::access::DatabaseAccess;
 use crate::succession::Leadership;
 
-/// Serves statements.
+/// Serves statements of callers.
 pub struct Statements {
     cx: Rc<Context>,
     databases: Rc<Databases>,
@@ -36,7 +34,7 @@
 }
 
 impl Statements {
-    /// Serves statements from the databases that `access` reaches.
+    /// Serves statements with the databases that `access` reaches.
     pub fn new(
         cx: Rc<Context>,
         access: Rc<DatabaseAccess>,
--- a/crates/dyketally-gateway/src/statement/read.rs
+++ b/crates/dyketally-gateway/src/statement/read.rs
@@ -1,4 +1,4 @@
-//! Single reads: served by any database that is fresh enough, and sent again when an answer is
+//! Single reads: served by any database that is fresh enough, and sent to another one when an answer is
 //! late or lost.
 
 use std::rc::Rc;
@@ -16,26 +16,26 @@
 use crate::database::claim::Work;
 use crate::database::connection::{Answer, Broken, leave_idle};
 use crate::database::target::Target;
-use crate::decision::choose::Proof;
+use crate::decision::choose::FreshnessCheck;
 use crate::decision::give_up::{self, Time};
 use crate::decision::hedge::{self, LATE_ANSWER_LIMIT};
-use crate::decision::learn::{self, BehindBegin};
+use crate::decision::learn::{self, ReadAfterBegin};
 use crate::decision::retry::{self, Attempts};
 use crate::decision::{Operation, Reason};
 use crate::ports::OwnStatement;
 use crate::statement::Statements;
-use crate::statement::attempt::Attempt;
-use crate::statement::choose::Choice;
+use crate::statement::attempt::AttemptOutcome;
+use crate::statement::choose::ChosenDatabase;
 use crate::statement::dispatch::Dispatch;
-use crate::statement::ending::{Decided, Known};
-use crate::statement::request::{Request, Served, Stage};
+use crate::statement::ending::{LiveInputs, StatementOutcome};
+use crate::statement::request::{Request, Response, Stage};
 
-/// Attempts of one read that wait for a connection or an answer.
-type Running = FuturesUnordered<JoinHandle<Attempt>>;
+/// Attempts of a read that wait for a connection or an answer.
+type Running = FuturesUnordered<JoinHandle<AttemptOutcome>>;
 
 impl Statements {
     /// Serves a single read.
-    pub async fn serve_read(self: &Rc<Self>, request: &Rc<Request>) -> Decided {
+    pub async fn serve_read(self: &Rc<Self>, request: &Rc<Request>) -> StatementOutcome {
         let mut running = Running::new();
         let mut tried: Vec<DatabaseName> = Vec::new();
         let mut refusal = FailureKind::Busy;
@@ -44,34 +44,40 @@
                 made: request.attempts.get(),
                 running: running.len(),
             };
-            let may_add = retry::may_add(attempts);
-            let started = match may_add && Instant::now() < request.give_up() {
+            let may_start_attempt = retry::may_start_attempt(attempts);
+            let started = match may_start_attempt && Instant::now() < request.latest_start() {
                 true => self.start_read(request, &mut tried).await,
                 false => None,
             };
-            let is_idle = may_add && started.is_none() && running.is_empty();
+            let is_idle = may_start_attempt && started.is_none() && running.is_empty();
             running.extend(started);
             if is_idle
-                && let Some(reason) =
-                    self.ends_read(request, give_up::Attempt::NotStarted, &tried, &running)
+                && let Some(reason) = self.reason_to_end_read(
+                    request,
+                    give_up::UnansweredAttempt::NotStarted,
+                    &tried,
+                    &running,
+                )
             {
                 return request.given_up(reason, refusal);
             }
-            match next_end(request, &mut running).await {
-                Some(Attempt::Answered(answer)) => {
-                    return Decided::answered(Served::from_database(answer));
+            match next_outcome(request, &mut running).await {
+                Some(AttemptOutcome::Answered(answer)) => {
+                    return StatementOutcome::answered(Response::from_database(answer));
                 }
-                Some(Attempt::NotRun(kind)) => {
+                Some(AttemptOutcome::NotRun(kind)) => {
                     refusal = kind;
-                    let attempt = give_up::Attempt::NotRun(kind);
-                    if let Some(reason) = self.ends_read(request, attempt, &tried, &running) {
+                    let attempt = give_up::UnansweredAttempt::NotRun(kind);
+                    if let Some(reason) =
+                        self.reason_to_end_read(request, attempt, &tried, &running)
+                    {
                         return request.given_up(reason, refusal);
                     }
-                    if let Some(pause) = retry::pause_of_read_after(kind) {
+                    if let Some(pause) = retry::read_pause_after(kind) {
                         tokio::time::sleep(pause).await;
                     }
                 }
-                Some(Attempt::Lost(_)) | None => {}
+                Some(AttemptOutcome::Lost(_)) | None => {}
             }
             let time = Time {
                 now: Instant::now(),
@@ -81,7 +87,8 @@
             if let Some(reason) = over {
                 if reason == Reason::DeadlinePassed && request.dispatches.proven_not_run().is_some()
                 {
-                    // What still waits for a connection must not run once the caller receives that it has not.
+                    // Attempts that still wait for a connection must not run after the caller was told that the read
+                    // has not run.
                     running.iter().for_each(JoinHandle::abort);
                 }
                 return request.given_up(reason, refusal);
@@ -89,32 +96,32 @@
         }
     }
 
-    /// Why a read is given up after an attempt, if it is.
-    fn ends_read(
+    /// Why a read is given up after an attempt; `None` when it goes on.
+    fn reason_to_end_read(
         &self,
         request: &Request,
-        attempt: give_up::Attempt,
+        attempt: give_up::UnansweredAttempt,
         tried: &[DatabaseName],
         running: &Running,
     ) -> Option<Reason> {
-        let known = Known {
+        let inputs = LiveInputs {
             statements: self,
             request,
             need: request.need(),
             tried,
             running: running.len(),
         };
-        known.judge(Operation::Read, attempt)
+        inputs.reason_to_give_up(Operation::Read, attempt)
     }
 
     async fn start_read(
         self: &Rc<Self>,
         request: &Rc<Request>,
         tried: &mut Vec<DatabaseName>,
-    ) -> Option<JoinHandle<Attempt>> {
+    ) -> Option<JoinHandle<AttemptOutcome>> {
         let choosing = self.choose(request, Operation::Read, request.need(), tried);
         let choice = choosing.await?;
-        request.attempt(self);
+        request.count_attempt(self);
         let statements = self.clone();
         let request = request.clone();
         Some(tokio::task::spawn_local(async move {
@@ -122,24 +129,30 @@
             let last = request.deadline + LATE_ANSWER_LIMIT;
             match tokio::time::timeout_at(last, attempt).await {
                 Ok(attempt) => attempt,
-                Err(_) => Attempt::Lost(Broken::new("no answer came")),
+                Err(_) => AttemptOutcome::Lost(Broken::new(
+                    "no answer arrived before the deadline or shortly after it",
+                )),
             }
         }))
     }
 
-    async fn read_once(self: &Rc<Self>, request: &Request, choice: &Choice) -> Attempt {
-        let Choice { target, proof } = choice;
+    async fn read_once(
+        self: &Rc<Self>,
+        request: &Request,
+        choice: &ChosenDatabase,
+    ) -> AttemptOutcome {
+        let ChosenDatabase { target, check } = choice;
         let mut checkout = match self.checkout(request, target, Work::Statements).await {
             Ok(checkout) => checkout,
-            Err(kind) => return Attempt::NotRun(kind),
+            Err(kind) => return AttemptOutcome::NotRun(kind),
         };
-        let batch = Batch::of(request.context(), steps(request, *proof));
+        let batch = Batch::of(request.context(), steps(request, *check));
         let sent = self.cx.now();
         let exchange = request.exchange(self, &mut checkout, target, &batch, Stage::First);
         let (answers, dispatch) = match exchange.await {
             Ok(answered) => answered,
             Err(unanswered) => {
-                let asked = (target, *proof);
+                let asked = (target, *check);
                 return self.without_answer(Operation::Read, asked, unanswered);
             }
         };
@@ -147,90 +160,90 @@
             checkout.give_back();
         }
         let mut answers = answers.into_iter();
-        match proof {
-            Proof::Holds(position) => {
+        match check {
+            FreshnessCheck::Holds(position) => {
                 let Some(answer) = answers.next() else {
-                    return Attempt::without_all_answers();
+                    return AttemptOutcome::without_all_answers();
                 };
-                self.judge_holding_read(target, *position, answer, dispatch)
+                self.evaluate_position_read(target, *position, answer, dispatch)
             }
-            Proof::Leads => {
+            FreshnessCheck::Leads => {
                 let (Some(begun), Some(answer)) = (answers.next(), answers.next()) else {
-                    return Attempt::without_all_answers();
+                    return AttemptOutcome::without_all_answers();
                 };
-                let judged = self.judge_leading_read(target, sent, begun, answer, dispatch);
-                judged.await
+                let evaluated = self.evaluate_leader_read(target, sent, begun, answer, dispatch);
+                evaluated.await
             }
         }
     }
 
-    /// Judges a read that ran only if the log held `position`.
-    fn judge_holding_read(
+    /// Evaluates the answer to a read that runs only if the log holds `position`.
+    fn evaluate_position_read(
         self: &Rc<Self>,
         target: &Target,
         position: LogPosition,
         answer: Answer,
         dispatch: Dispatch,
-    ) -> Attempt {
-        let proof = Proof::Holds(position);
+    ) -> AttemptOutcome {
+        let check = FreshnessCheck::Holds(position);
         if let Err(failure) = &answer.end
             && failure.kind.not_run()
         {
             dispatch.rejected();
-            let lesson = learn::from_refusal(Operation::Read, proof, failure.kind);
-            self.learn(target, lesson);
-            return Attempt::NotRun(failure.kind);
+            let feedback = learn::from_refusal(Operation::Read, check, failure.kind);
+            self.apply_feedback(target, feedback);
+            return AttemptOutcome::NotRun(failure.kind);
         }
         match target.leads {
             true => self.cx.counters.reads_at_primaries.add(),
             false => self.cx.counters.reads_at_replicas.add(),
         }
-        let lesson = learn::from_answer(Operation::Read, proof, target.leads);
-        self.learn(target, lesson);
-        Attempt::Answered(answer)
+        let feedback = learn::from_answer(Operation::Read, check, target.leads);
+        self.apply_feedback(target, feedback);
+        AttemptOutcome::Answered(answer)
     }
 
-    /// Judges a read behind a `BEGIN` that only a leader takes.
-    async fn judge_leading_read(
+    /// Evaluates the answer to a read after a `BEGIN` that only a leader accepts.
+    async fn evaluate_leader_read(
         self: &Rc<Self>,
         target: &Target,
         sent: Timestamp,
         begun: Answer,
         answer: Answer,
         dispatch: Dispatch,
-    ) -> Attempt {
+    ) -> AttemptOutcome {
         let kind_of = |answer: &Answer| answer.end.as_ref().err().map(|failure| failure.kind);
         let (refused, failed) = (kind_of(&begun), kind_of(&answer));
-        self.learn(target, learn::from_behind_begin(refused, failed));
-        match learn::behind_begin(refused, failed) {
-            BehindBegin::NotRun(kind) => {
+        self.apply_feedback(target, learn::from_read_after_begin(refused, failed));
+        match learn::read_after_begin(refused, failed) {
+            ReadAfterBegin::NotRun(kind) => {
                 dispatch.rejected();
-                Attempt::NotRun(kind)
+                AttemptOutcome::NotRun(kind)
             }
-            BehindBegin::ProvesNothing => {
-                Attempt::Lost(Broken::new("the database doesn't lead its group"))
+            ReadAfterBegin::Inconclusive => {
+                AttemptOutcome::Lost(Broken::new("the database refused the read's BEGIN"))
             }
-            BehindBegin::AnswerOfLeader
+            ReadAfterBegin::AnswerIfLeading
                 if !self.leadership.checks.is_upheld(target, sent).await =>
             {
-                Attempt::Lost(Broken::replaced())
+                AttemptOutcome::Lost(Broken::replaced())
             }
-            BehindBegin::AnswerOfLeader => {
+            ReadAfterBegin::AnswerIfLeading => {
                 self.cx.counters.reads_at_primaries.add();
                 self.databases.observe(&target.group, answer.position, sent);
-                Attempt::Answered(answer)
+                AttemptOutcome::Answered(answer)
             }
-            BehindBegin::FailedAtLeader => Attempt::Answered(answer),
+            ReadAfterBegin::FailedAtLeader => AttemptOutcome::Answered(answer),
         }
     }
 }
 
-/// What is sent for a read: alone where the log must hold a position, else in a transaction that only a
+/// The steps of a read: alone if the log has to hold a position, otherwise in a transaction that only a
 /// leader opens.
-fn steps(request: &Request, proof: Proof) -> Vec<Step> {
-    match proof {
-        Proof::Holds(position) => vec![request.step(Some(position))],
-        Proof::Leads => vec![
+fn steps(request: &Request, check: FreshnessCheck) -> Vec<Step> {
+    match check {
+        FreshnessCheck::Holds(position) => vec![request.step(Some(position))],
+        FreshnessCheck::Leads => vec![
             Step::Own(OwnStatement::Begin),
             request.step(None),
             Step::Own(OwnStatement::Rollback),
@@ -238,10 +251,10 @@
     }
 }
 
-/// Waits for the next attempt that ends, for as long as [`hedge`] says.
-async fn next_end(request: &Request, running: &mut Running) -> Option<Attempt> {
-    let patience = hedge::wait_for_answer(running.len());
-    let wake = (Instant::now() + patience).min(request.deadline);
+/// Waits until an attempt ends, no longer than [`hedge`] allows.
+async fn next_outcome(request: &Request, running: &mut Running) -> Option<AttemptOutcome> {
+    let wait = hedge::wait_for_answer(running.len());
+    let wake = (Instant::now() + wait).min(request.deadline);
     tokio::select! {
         // An attempt that panicked counts as one whose answer was lost.
         ended = running.next(), if !running.is_empty() => ended?.ok(),
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -1,5 +1,5 @@
-//! One statement of a session with all that is needed to serve it: its deadline, its patience, what it has
-//! to see. Asks for the permission to send it, and writes its line of the log.
+//! A caller's statement with all that is needed to serve it: deadline, queue timeouts, the commits that it
+//! has to see. Obtains the permission to send it and writes its log line.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -31,19 +31,19 @@
 use crate::statement::Statements;
 use crate::statement::dispatch::{Dispatch, Dispatches, ProvenNotRun};
 
-/// Where a statement stands in its transaction.
+/// Position of a statement in its transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// A single statement, or the first one of a transaction.
     First,
-    /// A further one of a transaction that is open at a database.
+    /// A later statement of a transaction that is open at a database.
     Further,
 }
 
 /// A prepared statement to run, with the caller's arguments.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    /// What was prepared.
+    /// The prepared statement.
     pub prepared: PreparedStatement,
     /// The arguments.
     pub arguments: String,
@@ -53,44 +53,44 @@
 pub struct Request {
     /// The caller's name for the attempt.
     pub id: Bytes,
-    /// The text.
+    /// Text of the statement.
     pub text: Bytes,
     /// Set when the statement runs a prepared one.
     pub execution: Option<Execution>,
-    /// The session's values.
+    /// Values that the session has set.
     pub values: BTreeMap<String, String>,
-    /// The route.
+    /// Route of the statement.
     pub route: Rc<RoutePolicy>,
-    /// Whose it is, where callers need a key.
+    /// The caller's tenant, on routes that need an API key.
     pub tenant: Option<Arc<Tenant>>,
-    /// The regions that serve it.
+    /// Regions whose nodes and databases may serve the statement.
     pub regions: ServingRegions,
-    /// When the statement arrived, or its transaction did.
+    /// When the statement arrived.
     pub arrived: Timestamp,
     /// When its session was connected.
     pub connected: Timestamp,
-    /// The session's last commit here.
+    /// Position of the session's last commit through this node.
     pub own_commit: Option<LogPosition>,
-    /// When it must be answered.
+    /// When the statement must be answered.
     pub deadline: Instant,
-    /// Attempts made at databases.
+    /// Number of attempts at databases so far.
     pub attempts: Cell<u32>,
-    /// Whether it may have run.
+    /// Tracks whether the statement may have run.
     pub dispatches: Dispatches,
 }
 
 /// What a caller receives for a statement.
 #[derive(Clone, Debug)]
-pub struct Served {
-    /// The rows.
+pub struct Response {
+    /// Rows of the result.
     pub rows: Vec<Bytes>,
-    /// The signature, or why it failed.
+    /// The signature of the answer, or why the statement failed.
     pub end: Result<Bytes, Failure>,
-    /// The end of the log it ran on, if told.
+    /// End of the database's log when the statement ran, if the database reported it.
     pub position: Option<LogPosition>,
 }
 
-impl Served {
+impl Response {
     /// The answer of a database.
     pub fn from_database(answer: Answer) -> Self {
         Self {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A failure of the statements's own.
+    /// A failure reported by the gateway itself.
     pub fn failed(kind: FailureKind, message: &str) -> Self {
         Self {
             rows: Vec::new(),
@@ -112,47 +112,47 @@
         }
     }
 
-    /// The statement has not run, as `_proof` tells; the caller should come back.
+    /// The statement has not run, as `_proof` shows; the caller may retry it.
     pub fn not_run(kind: FailureKind, _proof: ProvenNotRun) -> Self {
-        let come_back_ms = come_back::after_refusal(kind, rand::random_range).as_millis();
+        let retry_after_ms = come_back::after_refusal(kind, rand::random_range).as_millis();
         Self::failed(
             kind,
-            &format!("the statement has not run; come back after {come_back_ms} ms"),
+            &format!("the statement has not run; retry after {retry_after_ms} ms"),
         )
     }
 
-    /// The statement's operation would exceed the tenant's quota, and nothing of it has run.
+    /// The operation would exceed the tenant's quota; nothing of it has run.
     pub fn over_quota(retry_after: Duration) -> Self {
         Self::failed(
             FailureKind::QuotaExceeded,
             &format!(
-                "the tenant has used up its operations and the statement has not run; \
-                 come back after {} ms",
+                "the tenant's quota is used up and the statement has not run; \
+                 retry after {} ms",
                 retry_after.as_millis()
             ),
         )
     }
 
-    /// The caller's key may have been taken away unnoticed, and nothing has run.
+    /// The caller's API key may have been revoked without this node's knowledge; nothing has run.
     pub fn key_uncertain() -> Self {
-        let come_back_ms = come_back::after_rollback().as_millis();
+        let retry_after_ms = come_back::after_rollback().as_millis();
         Self::failed(
             FailureKind::KeyUncertain,
             &format!(
-                "this node is out of touch and can't know whether the key still stands; nothing has \
-                 run; connect to another node, or come back after {come_back_ms} ms"
+                "this node is out of contact and can't know whether the API key is still valid; nothing \
+                 has run; connect to another node, or retry after {retry_after_ms} ms"
             ),
         )
     }
 
-    /// The statement's transaction is rolled back, and nothing was kept. Its statements may have run.
+    /// The transaction is rolled back and none of its changes are kept. Its statements may have run.
     pub fn rolled_back() -> Self {
-        let come_back_ms = come_back::after_rollback().as_millis();
+        let retry_after_ms = come_back::after_rollback().as_millis();
         Self::failed(
             FailureKind::Aborted,
             &format!(
-                "the transaction is rolled back and nothing of it is kept; \
-                 begin it again after {come_back_ms} ms"
+                "the transaction is rolled back and none of its changes are kept; \
+                 begin it again after {retry_after_ms} ms"
             ),
         )
     }
@@ -161,21 +161,22 @@
     pub fn in_doubt(reason: &str) -> Self {
         Self::failed(
             FailureKind::InDoubt,
-            &format!("{reason}; the statement may have taken effect, so look before repeating it"),
+            &format!("{reason}; the statement may have taken effect, so check before repeating it"),
         )
     }
 
-    /// The statement's time ran out while it was at a database.
+    /// The deadline passed while a database was running the statement.
     pub fn timed_out() -> Self {
         Self::failed(
             FailureKind::TimedOut,
-            "the statement's time ran out while it was running",
+            "the deadline passed while a database was running the statement; it may have taken \
+             effect, so check before repeating it",
         )
     }
 }
 
 impl Request {
-    /// What a connection must know of the session.
+    /// The session state that a connection must have to run the statement.
     pub fn context(&self) -> SessionContext {
         let execution = self.execution.as_ref();
         SessionContext {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// The step that runs the statement on a log that holds `after`.
+    /// The step that runs the statement if the log holds `after`.
     pub fn step(&self, after: Option<LogPosition>) -> Step {
         match &self.execution {
             Some(execution) => Step::Execute {
@@ -200,19 +201,19 @@
         }
     }
 
-    /// Its rank and patience among those who want a connection for `work`.
+    /// The claim for a connection for `work`: priority, wait limit and queue timeouts.
     pub fn claim(&self, work: Work) -> Claim {
         Claim {
             priority: self.route.priority + 1,
-            until: self.give_up(),
-            patience: admit::patience(self.route.latency_objective),
+            until: self.latest_start(),
+            patience: admit::queue_timeouts(self.route.latency_objective),
             work,
             user: Some(self.user()),
             regions: self.regions.clone(),
         }
     }
 
-    /// In whose name it runs at databases.
+    /// The user as which the statement runs at databases.
     fn user(&self) -> DatabaseUser {
         match &self.tenant {
             Some(tenant) => DatabaseUser::Tenant(tenant.name.clone()),
@@ -220,22 +221,21 @@
         }
     }
 
-    /// Which commits a read has to see; `None` when only the primary will do.
+    /// The commits that a read has to see; `None` when only the primary may serve it.
     pub fn need(&self) -> Option<FreshnessNeed> {
         let consistency = self.route.consistency;
         consistency.need(self.arrived, self.connected, self.own_commit)
     }
 
     /// When the statement is given up if it isn't running by then.
-    pub fn give_up(&self) -> Instant {
+    pub fn latest_start(&self) -> Instant {
         give_up::latest_start(self.deadline)
     }
 
-    /// Hands the statement to a connection as part of `batch`. The caller of this says
-    /// whether they reject it.
-    ///
+    /// Sends the statement to the database as part of `batch`. The caller of this method marks the dispatch as
+    /// rejected if an answer says that the statement has not run.
     /// # Errors
-    /// There are no answers; tells whether anything may have run.
+    /// The batch has no answers; the error tells whether it may have run.
     pub async fn exchange(
         &self,
         statements: &Rc<Statements>,
@@ -248,7 +248,7 @@
             Stage::First => Intent::first(&self.regions, batch.needs_leader()),
             Stage::Further => Intent::further(batch.needs_leader()),
         };
-        // Leave is asked for behind all waits, since the zone may be evacuated meanwhile.
+        // Permission is requested after all waits, since the zone may be evacuated during them.
         checkout.wait_for_turn(batch).await;
         let permission = statements.databases.may_send(target, &intent);
         let permission =
@@ -269,22 +269,22 @@
     }
 
     /// Counts an attempt at a database.
-    pub fn attempt(&self, statements: &Statements) {
+    pub fn count_attempt(&self, statements: &Statements) {
         if self.attempts.get() > 0 {
             statements.cx.counters.further_attempts.add();
         }
         self.attempts.set(self.attempts.get() + 1);
     }
 
-    /// Measures the reply to the caller, and logs it if it isn't an ordinary success.
-    pub fn log(&self, statements: &Statements, served: &Served, reason: Reason) {
+    /// Measures the response to the caller, and logs it unless it is a success at the first attempt.
+    pub fn record_outcome(&self, statements: &Statements, response: &Response, reason: Reason) {
         let elapsed = statements.cx.now().saturating_since(self.arrived);
-        let failed = served.end.as_ref().err().map(|failure| failure.kind);
+        let failed = response.end.as_ref().err().map(|failure| failure.kind);
         statements
             .cx
             .measures
             .answered(&self.route.name, failed, elapsed);
-        let outcome = match &served.end {
+        let outcome = match &response.end {
             Ok(_) if self.attempts.get() <= 1 => return,
             Ok(_) => "served".to_owned(),
             Err(failure) => format!("{:?}", failure.kind),
--- a/crates/dyketally-gateway/src/statement/transaction/bound.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/bound.rs
@@ -1,4 +1,4 @@
-//! The connection that a transaction is bound to, and what is sent on it.
+//! The connection that a transaction is bound to, and the statements sent on it.
 
 use std::rc::Rc;
 
@@ -16,23 +16,23 @@
 use crate::statement::Statements;
 use crate::statement::request::{Request, Stage};
 
-/// The database of a transaction, and the connection on which it is open.
-pub(super) struct Bound {
+/// The database of a transaction, and the connection on which the transaction is open.
+pub(super) struct BoundConnection {
     pub(super) checkout: DatabaseConnection,
     pub(super) target: Target,
-    /// True when the transaction was opened as only a leader does.
+    /// True when the transaction was opened with a `BEGIN` that only a leader accepts.
     pub(super) leads: bool,
 }
 
-impl Bound {
-    /// Drops the transaction at the database, in the background.
+impl BoundConnection {
+    /// Rolls the transaction back at the database, in the background.
     pub(super) fn roll_back(self, reset: Reset) {
         self.checkout.roll_back(reset);
     }
 }
 
 impl Transaction {
-    /// Runs a statement at the transaction's database, or tells why that has no answer.
+    /// Runs a statement at the transaction's database; on failure tells why there is no answer.
     pub(super) async fn run_bound(
         &mut self,
         statements: &Rc<Statements>,
@@ -47,8 +47,8 @@
         Err(reason)
     }
 
-    /// Sends a statement to the transaction's database, again and again while
-    /// [`retry::repeats_in_transaction`]. `None` when the connection broke.
+    /// Sends a statement to the transaction's database, and retries it while [`retry::retries_in_transaction`]
+    /// holds. Returns `None` when the connection broke.
     pub(super) async fn send_until_run(
         &mut self,
         statements: &Rc<Statements>,
@@ -61,8 +61,8 @@
                 return Ok(None);
             };
             let refusal = refusal_of(&answer);
-            let time_left = request.give_up().duration_since(Instant::now());
-            if !retry::repeats_in_transaction(refusal, answer.state, time_left) {
+            let time_left = request.latest_start().duration_since(Instant::now());
+            if !retry::retries_in_transaction(refusal, answer.state, time_left) {
                 return Ok(Some(answer));
             }
             tokio::time::sleep(RETRY_PAUSE).await;
@@ -72,7 +72,7 @@
     async fn send(&mut self, statements: &Rc<Statements>, request: &Request) -> Option<Answer> {
         let reset = self.reset_after_failure();
         let bound = self.bound.as_mut()?;
-        request.attempt(statements);
+        request.count_attempt(statements);
         let mut batch = Batch::of(request.context(), vec![request.step(None)]);
         batch.reset = reset;
         let sent = statements.cx.now();
--- a/crates/dyketally-gateway/src/statement/transaction/commit.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/commit.rs
@@ -1,4 +1,4 @@
-//! The end of a transaction whose writes are kept, and what its caller receives if the `COMMIT` is lost.
+//! Commits a transaction, and decides what the caller receives if the answer to the `COMMIT` is lost.
 
 use std::rc::Rc;
 
@@ -8,32 +8,32 @@
 use super::{Transaction, TransactionAnswer};
 use crate::database::connection::{Answer, Broken};
 use crate::decision::Reason;
-use crate::decision::refuse::{self, LostCommit, ToldOfCommit};
+use crate::decision::refuse::{self, CommitError, LostCommit};
 use crate::statement::Statements;
-use crate::statement::request::{Request, Served};
+use crate::statement::request::{Request, Response};
 
 impl Transaction {
-    /// Ends the transaction and keeps its writes.
+    /// Commits the transaction.
     pub async fn commit(
         &mut self,
         statements: &Rc<Statements>,
         request: &Request,
     ) -> TransactionAnswer {
         if self.failed {
-            let message = "the transaction had failed and is rolled back";
-            let served = Served::failed(FailureKind::Aborted, message);
-            return TransactionAnswer::ended(served, Reason::TransactionFailed);
+            let message = "the transaction had failed before the commit and is rolled back";
+            let response = Response::failed(FailureKind::Aborted, message);
+            return TransactionAnswer::ended(response, Reason::TransactionFailed);
         }
         let sent = statements.cx.now();
         if self.bound.is_none() {
             let Ok(answer) = self.run_first(statements, request).await else {
-                return self.give_up_unkept(statements, request);
+                return self.end_rolled_back(statements, request);
             };
             return self.committed(statements, request, answer, sent).await;
         }
         match self.send_until_run(statements, request).await {
             Ok(Some(answer)) => self.committed(statements, request, answer, sent).await,
-            Ok(None) => self.lost(statements, request, LostCommit::Broke),
+            Ok(None) => self.lost(statements, request, LostCommit::ConnectionBroke),
             Err(_) => self.lost(statements, request, LostCommit::DeadlinePassed),
         }
     }
@@ -47,9 +47,9 @@
     ) -> TransactionAnswer {
         if self.wrote && answer.end.is_ok() && !self.is_upheld(statements, sent).await {
             self.bound = None;
-            let served = Served::in_doubt(&Broken::replaced().reason);
-            request.log(statements, &served, Reason::DatabaseReplaced);
-            return TransactionAnswer::ended(served, Reason::DatabaseReplaced);
+            let response = Response::in_doubt(&Broken::replaced().reason);
+            request.record_outcome(statements, &response, Reason::DatabaseReplaced);
+            return TransactionAnswer::ended(response, Reason::DatabaseReplaced);
         }
         if answer.state != TransactionState::Idle {
             self.drop_bound();
@@ -59,8 +59,8 @@
         TransactionAnswer::answered(answer, TransactionState::Idle)
     }
 
-    /// True unless the transaction runs at a database that led the group and no longer does, or not without
-    /// a break since `sent`.
+    /// False when the transaction's database led the group as the transaction was opened, and may not have led
+    /// it without interruption since `sent`.
     async fn is_upheld(&self, statements: &Rc<Statements>, sent: Timestamp) -> bool {
         match &self.bound {
             Some(bound) if bound.leads => {
@@ -79,28 +79,28 @@
         lost: LostCommit,
     ) -> TransactionAnswer {
         let may_have_run = request.dispatches.proven_not_run().is_none();
-        let served = match refuse::commit(lost, self.wrote, may_have_run) {
-            ToldOfCommit::RolledBack => return self.give_up_unkept(statements, request),
-            ToldOfCommit::InDoubt => Served::in_doubt("the connection broke during the commit"),
-            ToldOfCommit::TimedOut => Served::timed_out(),
+        let response = match refuse::commit(lost, self.wrote, may_have_run) {
+            CommitError::RolledBack => return self.end_rolled_back(statements, request),
+            CommitError::InDoubt => Response::in_doubt("the connection broke during the commit"),
+            CommitError::TimedOut => Response::timed_out(),
         };
         self.bound = None;
         let reason = match lost {
-            LostCommit::Broke => Reason::ConnectionBroke,
+            LostCommit::ConnectionBroke => Reason::ConnectionBroke,
             LostCommit::DeadlinePassed => Reason::DatabaseSilent,
         };
-        TransactionAnswer::ended(served, reason)
+        TransactionAnswer::ended(response, reason)
     }
 
-    /// Ends a transaction that is lost, and of which nothing can have been kept.
-    fn give_up_unkept(
+    /// Ends a transaction that was lost and can't have had any effect.
+    fn end_rolled_back(
         &mut self,
         statements: &Rc<Statements>,
         request: &Request,
     ) -> TransactionAnswer {
         self.drop_bound();
-        let served = Served::rolled_back();
-        request.log(statements, &served, Reason::LostBeforeCommit);
-        TransactionAnswer::ended(served, Reason::LostBeforeCommit)
+        let response = Response::rolled_back();
+        request.record_outcome(statements, &response, Reason::LostBeforeCommit);
+        TransactionAnswer::ended(response, Reason::LostBeforeCommit)
     }
 }
--- a/crates/dyketally-gateway/src/statement/transaction/first.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/first.rs
@@ -1,7 +1,6 @@
-//! The first statement of a transaction: finds the transaction's database and opens it there.
-//!
-//! Nothing of a transaction is kept anywhere before it commits, so a first statement that was lost is
-//! simply run in a new transaction.
+//! The first statement of a transaction: finds the transaction's database and opens the transaction there.
+//! A transaction has no effect before it commits, so a first statement whose answer was lost is run again
+//! in a new transaction.
 
 use std::rc::Rc;
 
@@ -11,27 +10,27 @@
 use tokio::time::Instant;
 
 use super::Transaction;
-use super::bound::Bound;
+use super::bound::BoundConnection;
 use crate::database::batch::{Batch, Flow, Step};
 use crate::database::claim::Work;
 use crate::database::connection::Answer;
 use crate::database::target::Target;
-use crate::decision::choose::Proof;
+use crate::decision::choose::FreshnessCheck;
 use crate::decision::give_up::{self, Time};
 use crate::decision::retry::RETRY_PAUSE;
 use crate::decision::{Operation, Reason, learn};
 use crate::ports::OwnStatement;
 use crate::statement::Statements;
-use crate::statement::attempt::Attempt;
-use crate::statement::choose::Choice;
-use crate::statement::ending::Known;
+use crate::statement::attempt::AttemptOutcome;
+use crate::statement::choose::ChosenDatabase;
+use crate::statement::ending::LiveInputs;
 use crate::statement::request::{Request, Stage};
 
 const OPERATION: Operation = Operation::FirstOfTransaction;
 
 impl Transaction {
-    /// Finds a database for the transaction and runs its first statement there, or tells why it is given
-    /// up.
+    /// Finds a database for the transaction and runs its first statement there; on failure tells why the
+    /// transaction is given up.
     pub(super) async fn run_first(
         &mut self,
         statements: &Rc<Statements>,
@@ -41,16 +40,16 @@
         loop {
             let first = self.try_first(statements, request, &mut tried);
             let attempt = match tokio::time::timeout_at(request.deadline, first).await {
-                Ok(Attempt::Answered(answer)) => return Ok(answer),
-                Ok(Attempt::NotRun(kind)) => give_up::Attempt::NotRun(kind),
-                Ok(Attempt::Lost(_)) => give_up::Attempt::Lost,
+                Ok(AttemptOutcome::Answered(answer)) => return Ok(answer),
+                Ok(AttemptOutcome::NotRun(kind)) => give_up::UnansweredAttempt::NotRun(kind),
+                Ok(AttemptOutcome::Lost(_)) => give_up::UnansweredAttempt::Lost,
                 Err(_) => {
                     self.bound = None;
                     return Err(Reason::DeadlinePassed);
                 }
             };
             self.drop_bound();
-            if let Some(reason) = self.ends_first(statements, request, attempt, &tried) {
+            if let Some(reason) = self.reason_to_end_first(statements, request, attempt, &tried) {
                 return Err(reason);
             }
             statements
@@ -61,23 +60,23 @@
         }
     }
 
-    /// Why the transaction is given up after an attempt, if it is.
-    fn ends_first(
+    /// Why the transaction is given up after an attempt; `None` when it goes on.
+    fn reason_to_end_first(
         &self,
         statements: &Rc<Statements>,
         request: &Request,
-        attempt: give_up::Attempt,
+        attempt: give_up::UnansweredAttempt,
         tried: &[DatabaseName],
     ) -> Option<Reason> {
-        let known = Known {
+        let inputs = LiveInputs {
             statements,
             request,
             need: self.need(request),
             tried,
             running: 0,
         };
-        let hopeless = known.judge(OPERATION, attempt);
-        hopeless.or_else(|| {
+        let reason = inputs.reason_to_give_up(OPERATION, attempt);
+        reason.or_else(|| {
             let time = Time {
                 now: Instant::now(),
                 deadline: request.deadline,
@@ -91,55 +90,55 @@
         statements: &Rc<Statements>,
         request: &Request,
         tried: &mut Vec<DatabaseName>,
-    ) -> Attempt {
+    ) -> AttemptOutcome {
         let choosing = statements.choose(request, OPERATION, self.need(request), tried);
-        let Some(Choice { target, proof }) = choosing.await else {
-            return Attempt::NotRun(FailureKind::Busy);
+        let Some(ChosenDatabase { target, check }) = choosing.await else {
+            return AttemptOutcome::NotRun(FailureKind::Busy);
         };
         let checkout = statements.checkout(request, &target, Work::Transaction);
         let mut checkout = match checkout.await {
             Ok(checkout) => checkout,
-            Err(kind) => return Attempt::NotRun(kind),
+            Err(kind) => return AttemptOutcome::NotRun(kind),
         };
-        request.attempt(statements);
-        let batch = self.opening(request, proof);
+        request.count_attempt(statements);
+        let batch = self.opening_batch(request, check);
         let sent = statements.cx.now();
         let exchange = request.exchange(statements, &mut checkout, &target, &batch, Stage::First);
         let (answers, dispatch) = match exchange.await {
             Ok(answered) => answered,
             Err(unanswered) => {
-                return statements.without_answer(OPERATION, (&target, proof), unanswered);
+                return statements.without_answer(OPERATION, (&target, check), unanswered);
             }
         };
         let mut answers = answers.into_iter();
         let Some(begun) = answers.next() else {
-            return Attempt::without_all_answers();
+            return AttemptOutcome::without_all_answers();
         };
         if let Err(failure) = &begun.end {
             dispatch.rejected();
-            learn_from_refusal(statements, &target, proof, failure.kind);
+            apply_refusal(statements, &target, check, failure.kind);
             if begun.state == TransactionState::Idle {
                 checkout.give_back();
             }
-            return Attempt::NotRun(failure.kind);
+            return AttemptOutcome::NotRun(failure.kind);
         }
-        statements.learn(&target, learn::from_answer(OPERATION, proof, target.leads));
-        let leads = proof == Proof::Leads;
+        statements.apply_feedback(&target, learn::from_answer(OPERATION, check, target.leads));
+        let leads = check == FreshnessCheck::Leads;
         if leads && !statements.leadership.checks.is_upheld(&target, sent).await {
-            return Attempt::NotRun(FailureKind::ReadOnly);
+            return AttemptOutcome::NotRun(FailureKind::ReadOnly);
         }
         if leads {
             statements
                 .databases
                 .observe(&target.group, begun.position, sent);
         }
-        self.bound = Some(Bound {
+        self.bound = Some(BoundConnection {
             checkout,
             target: target.clone(),
             leads,
         });
         let Some(answer) = answers.next() else {
-            return Attempt::without_all_answers();
+            return AttemptOutcome::without_all_answers();
         };
         if leads && answer.end.is_ok() && statements.leadership.checks.surely_leads(&target) {
             statements
@@ -149,20 +148,20 @@
         match &answer.end {
             Err(failure) if failure.kind.not_run() => {
                 dispatch.rejected();
-                learn_from_refusal(statements, &target, proof, failure.kind);
-                Attempt::NotRun(failure.kind)
+                apply_refusal(statements, &target, check, failure.kind);
+                AttemptOutcome::NotRun(failure.kind)
             }
-            _ => Attempt::Answered(answer),
+            _ => AttemptOutcome::Answered(answer),
         }
     }
 
-    /// What opens the transaction and runs its first statement.
-    fn opening(&self, request: &Request, proof: Proof) -> Batch {
-        let begin = match proof {
-            Proof::Holds(position) => OwnStatement::BeginReadOnly {
+    /// The batch that opens the transaction and runs its first statement.
+    fn opening_batch(&self, request: &Request, check: FreshnessCheck) -> Batch {
+        let begin = match check {
+            FreshnessCheck::Holds(position) => OwnStatement::BeginReadOnly {
                 after: Some(position),
             },
-            Proof::Leads => OwnStatement::Begin,
+            FreshnessCheck::Leads => OwnStatement::Begin,
         };
         let steps = vec![Step::Own(begin), request.step(None)];
         let mut batch = Batch::of(request.context(), steps);
@@ -171,7 +170,7 @@
         batch
     }
 
-    /// What the transaction has to see; `None` when it needs the primary.
+    /// The commits that the transaction has to see; `None` when it needs the primary.
     fn need(&self, request: &Request) -> Option<FreshnessNeed> {
         let consistency = request.route.consistency;
         let need = consistency.need(self.begun, request.connected, request.own_commit);
@@ -179,11 +178,11 @@
     }
 }
 
-fn learn_from_refusal(
+fn apply_refusal(
     statements: &Rc<Statements>,
     target: &Target,
-    proof: Proof,
+    check: FreshnessCheck,
     kind: FailureKind,
 ) {
-    statements.learn(target, learn::from_refusal(OPERATION, proof, kind));
+    statements.apply_feedback(target, learn::from_refusal(OPERATION, check, kind));
 }
--- a/crates/dyketally-gateway/src/statement/transaction/mod.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/mod.rs
@@ -1,8 +1,6 @@
-//! Transactions: opened at a database with their first statement, and bound to that connection until
-//! they end.
-//!
-//! A [`Transaction`] owns the connection that it is bound to, and its tenant's permit; dropping it rolls
-//! it back. `first` finds its database, `bound` sends to that, `commit` ends it.
+//! Transactions: opened at a database with their first statement, and bound to that connection until they
+//! end. A [`Transaction`] owns the connection that it is bound to and its tenant's permit; dropping it
+//! rolls it back. `first` finds its database, `bound` sends statements to it, `commit` commits it.
 
 mod bound;
 mod commit;
@@ -14,56 +12,56 @@
 use dyketally::statement::{FailureKind, TransactionState};
 use dyketally::time::Timestamp;
 
-use self::bound::Bound;
+use self::bound::BoundConnection;
 use crate::database::batch::Reset;
 use crate::database::connection::Answer;
-use crate::decision::choose::Proof;
+use crate::decision::choose::FreshnessCheck;
 use crate::decision::{Operation, Reason, learn};
 use crate::quota::Permit;
 use crate::statement::Statements;
-use crate::statement::request::{Request, Served};
+use crate::statement::request::{Request, Response};
 
 /// A transaction of a session.
 pub struct Transaction {
-    /// True when it promised not to write.
+    /// True when it was begun as read-only.
     pub read_only: bool,
     /// When it was begun.
     pub begun: Timestamp,
     /// True once it can only be rolled back.
     pub failed: bool,
-    /// True once it sent a write.
+    /// True once it has sent a write.
     pub wrote: bool,
     /// True once values were set in it.
     pub set_values: bool,
-    /// Leave to run it, once it was obtained.
+    /// Permit to run it, once it was obtained.
     pub permit: Option<Permit>,
-    bound: Option<Bound>,
+    bound: Option<BoundConnection>,
 }
 
 /// The answer to a statement of a transaction.
 pub struct TransactionAnswer {
     /// What the caller receives.
-    pub served: Served,
-    /// Why, for the log.
+    pub response: Response,
+    /// Why the statement ended so, for the log.
     pub reason: Reason,
-    /// The state afterwards.
+    /// State of the transaction after the statement.
     pub state: TransactionState,
 }
 
 impl TransactionAnswer {
-    /// The transaction is over.
-    fn ended(served: Served, reason: Reason) -> Self {
+    /// The transaction has ended.
+    fn ended(response: Response, reason: Reason) -> Self {
         Self {
-            served,
+            response,
             reason,
             state: TransactionState::Idle,
         }
     }
 
-    /// A database answered, which leaves the transaction in `state`.
+    /// A database answered, and the transaction is in `state` now.
     fn answered(answer: Answer, state: TransactionState) -> Self {
         Self {
-            served: Served::from_database(answer),
+            response: Response::from_database(answer),
             reason: Reason::Answered,
             state,
         }
@@ -71,7 +69,7 @@
 }
 
 impl Transaction {
-    /// A transaction that no database knows of yet.
+    /// A transaction that isn't open at any database yet.
     pub fn new(read_only: bool, begun: Timestamp) -> Self {
         Self {
             read_only,
@@ -91,18 +89,18 @@
         request: &Request,
         access: Access,
     ) -> TransactionAnswer {
-        let served = match self.bound.is_some() {
+        let response = match self.bound.is_some() {
             true => self.run_bound(statements, request).await,
             false => self.run_first(statements, request).await,
         };
         self.wrote |= access == Access::Write;
-        match served {
-            Ok(answer) => self.settle(statements, request, answer),
+        match response {
+            Ok(answer) => self.apply_answer(statements, request, answer),
             Err(reason) => self.give_up(statements, request, reason),
         }
     }
 
-    /// Drops the transaction and its writes, without waiting for the database.
+    /// Rolls the transaction back, without waiting for the database.
     pub fn roll_back(&mut self) {
         self.drop_bound();
     }
@@ -117,7 +115,7 @@
         });
     }
 
-    /// Values that were set in a transaction are uncertain when it fails.
+    /// When the connection is reset: values that were set in a transaction are uncertain once it fails.
     fn reset_after_failure(&self) -> Reset {
         match self.set_values {
             true => Reset::AfterFailure,
@@ -125,7 +123,7 @@
         }
     }
 
-    fn settle(
+    fn apply_answer(
         &mut self,
         statements: &Rc<Statements>,
         request: &Request,
@@ -137,7 +135,7 @@
             }
             (Err(failure), _) if failure.kind.not_run() => {
                 let kind = failure.kind;
-                self.learn_from_refusal(statements, kind);
+                self.apply_refusal(statements, kind);
                 self.give_up(statements, request, Reason::RefusedInTransaction(kind))
             }
             (Err(_), _) => {
@@ -149,14 +147,14 @@
         }
     }
 
-    /// Applies what a refusal within the transaction tells of its database.
-    fn learn_from_refusal(&self, statements: &Rc<Statements>, kind: FailureKind) {
+    /// Records what a refusal within the transaction shows about its database.
+    fn apply_refusal(&self, statements: &Rc<Statements>, kind: FailureKind) {
         if let Some(bound) = &self.bound
             && bound.leads
         {
             let operation = Operation::FirstOfTransaction;
-            let lesson = learn::from_refusal(operation, Proof::Leads, kind);
-            statements.learn(&bound.target, lesson);
+            let feedback = learn::from_refusal(operation, FreshnessCheck::Leads, kind);
+            statements.apply_feedback(&bound.target, feedback);
         }
     }
 
@@ -168,10 +166,10 @@
     ) -> TransactionAnswer {
         self.failed = true;
         self.drop_bound();
-        let served = Served::rolled_back();
-        request.log(statements, &served, reason);
+        let response = Response::rolled_back();
+        request.record_outcome(statements, &response, reason);
         TransactionAnswer {
-            served,
+            response,
             reason,
             state: TransactionState::Failed,
         }
--- a/crates/dyketally-gateway/src/statement/unserved.rs
+++ b/crates/dyketally-gateway/src/statement/unserved.rs
@@ -1,4 +1,4 @@
-//! Statements that no database may serve: counted, and logged once for each group in a while.
+//! Counts statements that no database may serve, and logs them at most once per interval for each group.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,18 +12,18 @@
 use crate::statement::Statements;
 use crate::statement::request::Request;
 
-/// Pause between two log lines on a group that no database may serve: each statement that is refused
-/// has a line of its own.
+/// Minimum interval between log lines about a group that no database may serve. Each refused statement also
+/// has its own line, `statement_decided`.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// When the log reported last, for each group, that no database may serve some statement.
+/// Time of the last log line about each group that no database may serve.
 #[derive(Debug, Default)]
 pub(super) struct UnservedLog {
     reported: RefCell<HashMap<GroupName, Instant>>,
 }
 
 impl UnservedLog {
-    /// True when a report on `group` is due; it counts as made then.
+    /// True when a log line about `group` is due; the line then counts as written.
     fn is_due(&self, group: &GroupName) -> bool {
         let mut reported = self.reported.borrow_mut();
         let last = reported.get(group);
@@ -36,7 +36,7 @@
 }
 
 impl Statements {
-    /// Counts that no database of its route's group may serve a statement, and logs it now and then.
+    /// Counts a statement that no database of its group may serve, and logs it if a line is due.
     pub(super) fn report_unserved(&self, request: &Request, denial: Denial) {
         let Request { route, regions, .. } = request;
         self.cx.counters.denied.add(denial.kind(), 1);
--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -1,4 +1,4 @@
-//! Single writes: sent to the primary once, and never again after that.
+//! Single writes: sent to the primary, and retried only if they have not run.
 
 use std::rc::Rc;
 
@@ -9,19 +9,19 @@
 use crate::database::claim::Work;
 use crate::database::connection::Broken;
 use crate::database::target::Target;
-use crate::decision::choose::Proof;
+use crate::decision::choose::FreshnessCheck;
 use crate::decision::give_up::{self, Time};
 use crate::decision::learn;
 use crate::decision::retry::{self, AfterLoss, RETRY_PAUSE};
 use crate::decision::{Operation, Reason};
 use crate::statement::Statements;
-use crate::statement::attempt::Attempt;
-use crate::statement::ending::{Decided, Known};
-use crate::statement::request::{Request, Served, Stage};
+use crate::statement::attempt::AttemptOutcome;
+use crate::statement::ending::{LiveInputs, StatementOutcome};
+use crate::statement::request::{Request, Response, Stage};
 
 impl Statements {
     /// Serves a single write.
-    pub async fn serve_write(self: &Rc<Self>, request: &Request) -> Decided {
+    pub async fn serve_write(self: &Rc<Self>, request: &Request) -> StatementOutcome {
         let mut refusal = FailureKind::Busy;
         loop {
             let target = match self.primary_for_write(request).await {
@@ -30,38 +30,38 @@
             };
             let attempt = self.write_once(request, &target);
             match tokio::time::timeout_at(request.deadline, attempt).await {
-                Ok(Attempt::Answered(answer)) => {
-                    return Decided::answered(Served::from_database(answer));
+                Ok(AttemptOutcome::Answered(answer)) => {
+                    return StatementOutcome::answered(Response::from_database(answer));
                 }
-                Ok(Attempt::NotRun(kind)) => refusal = kind,
-                Ok(Attempt::Lost(broken)) => match retry::after_loss(Operation::Write) {
-                    AfterLoss::InDoubt => return Decided::in_doubt(&broken),
-                    AfterLoss::SendAgain => {}
+                Ok(AttemptOutcome::NotRun(kind)) => refusal = kind,
+                Ok(AttemptOutcome::Lost(broken)) => match retry::after_loss(Operation::Write) {
+                    AfterLoss::InDoubt => return StatementOutcome::in_doubt(&broken),
+                    AfterLoss::Retry => {}
                 },
                 Err(_) => return request.given_up(Reason::DeadlinePassed, refusal),
             }
-            if let Some(reason) = self.ends_write(request, refusal) {
+            if let Some(reason) = self.reason_to_end_write(request, refusal) {
                 return request.given_up(reason, refusal);
             }
             self.cx.changes.next(Instant::now() + RETRY_PAUSE).await;
         }
     }
 
-    /// The primary, once it can be used, or why the write is given up without one.
+    /// Waits for a usable primary; on failure tells why the write is given up without one.
     async fn primary_for_write(self: &Rc<Self>, request: &Request) -> Result<Target, Reason> {
         let group = &request.route.group;
         let until = self
             .databases
             .group(group)
             .availability
-            .wait_until(request.give_up());
+            .wait_until(request.latest_start());
         let primary = self
             .leadership
             .confirmations
             .primary_by(group, &request.regions, until)
             .await;
         primary.map_err(|denial| {
-            let reason = give_up::without_primary(denial.is_lasting());
+            let reason = give_up::no_primary_reason(denial.is_lasting());
             match reason {
                 Reason::NothingMayServe => self.report_unserved(request, denial),
                 _ => self.databases.group(group).availability.attempt_failed(),
@@ -70,17 +70,20 @@
         })
     }
 
-    /// Why a write is given up that was refused for `refusal`, if it is.
-    fn ends_write(&self, request: &Request, refusal: FailureKind) -> Option<Reason> {
-        let known = Known {
+    /// Why a write is given up after it was refused for `refusal`; `None` when it goes on.
+    fn reason_to_end_write(&self, request: &Request, refusal: FailureKind) -> Option<Reason> {
+        let inputs = LiveInputs {
             statements: self,
             request,
             need: None,
             tried: &[],
             running: 0,
         };
-        let hopeless = known.judge(Operation::Write, give_up::Attempt::NotRun(refusal));
-        hopeless.or_else(|| {
+        let reason = inputs.reason_to_give_up(
+            Operation::Write,
+            give_up::UnansweredAttempt::NotRun(refusal),
+        );
+        reason.or_else(|| {
             let time = Time {
                 now: Instant::now(),
                 deadline: request.deadline,
@@ -89,41 +92,42 @@
         })
     }
 
-    async fn write_once(self: &Rc<Self>, request: &Request, target: &Target) -> Attempt {
+    async fn write_once(self: &Rc<Self>, request: &Request, target: &Target) -> AttemptOutcome {
         let mut checkout = match self.checkout(request, target, Work::Statements).await {
             Ok(checkout) => checkout,
-            Err(kind) => return Attempt::NotRun(kind),
+            Err(kind) => return AttemptOutcome::NotRun(kind),
         };
         let batch = Batch::of(request.context(), vec![request.step(None)]);
-        request.attempt(self);
+        request.count_attempt(self);
         let sent = self.cx.now();
         let exchange = request.exchange(self, &mut checkout, target, &batch, Stage::First);
         let (mut answers, dispatch) = match exchange.await {
             Ok(answered) => answered,
             Err(unanswered) => {
-                let asked = (target, Proof::Leads);
+                let asked = (target, FreshnessCheck::Leads);
                 return self.without_answer(Operation::Write, asked, unanswered);
             }
         };
         let Some(answer) = answers.pop() else {
-            return Attempt::without_all_answers();
+            return AttemptOutcome::without_all_answers();
         };
         if answer.state == TransactionState::Idle {
             checkout.give_back();
         }
         match &answer.end {
             Ok(_) if !self.leadership.checks.is_upheld(target, sent).await => {
-                return Attempt::Lost(Broken::replaced());
+                return AttemptOutcome::Lost(Broken::replaced());
             }
             Ok(_) => self.databases.observe(&target.group, answer.position, sent),
             Err(failure) if failure.kind.not_run() => {
                 dispatch.rejected();
-                let lesson = learn::from_refusal(Operation::Write, Proof::Leads, failure.kind);
-                self.learn(target, lesson);
-                return Attempt::NotRun(failure.kind);
+                let feedback =
+                    learn::from_refusal(Operation::Write, FreshnessCheck::Leads, failure.kind);
+                self.apply_feedback(target, feedback);
+                return AttemptOutcome::NotRun(failure.kind);
             }
             Err(_) => {}
         }
-        Attempt::Answered(answer)
+        AttemptOutcome::Answered(answer)
     }
 }
--- a/crates/dyketally-gateway/tests/decision/give_up.rs
+++ b/crates/dyketally-gateway/tests/decision/give_up.rs
@@ -1,4 +1,4 @@
-//! When a statement is given up, and in which order that is asked.
+//! When a statement is given up, and in which order the conditions are checked.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use dyketally_gateway::decision::Operation::{self, FirstOfTransaction, Read, Write};
 use dyketally_gateway::decision::Reason;
 use dyketally_gateway::decision::give_up::{
-    ANSWER_RESERVE, Attempt, Circumstances, Primary, Time, after_attempt, latest_start,
-    out_of_time, without_primary,
+    ANSWER_RESERVE, GiveUpInputs, PrimaryState, Time, UnansweredAttempt, after_attempt,
+    latest_start, no_primary_reason, out_of_time,
 };
 use dyketally_gateway::decision::retry::RETRY_PAUSE;
 use rstest::rstest;
@@ -16,18 +16,18 @@
 const OBJECTIVE: Duration = Duration::from_millis(1_000);
 const LONG: Duration = Duration::from_millis(1_500);
 
-/// What is known, as a table.
+/// Inputs of the rule with fixed values.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct FixedInputs {
     elapsed: Duration,
     objective: Duration,
-    primary: Primary,
-    something_may_serve: bool,
+    primary: PrimaryState,
+    any_database_may_serve: bool,
     running: usize,
-    has_untried: bool,
+    has_untried_database: bool,
 }
 
-impl Circumstances for Known {
+impl GiveUpInputs for FixedInputs {
     fn elapsed(&self) -> Duration {
         self.elapsed
     }
@@ -36,83 +36,83 @@
         self.objective
     }
 
-    fn primary(&self) -> Primary {
+    fn primary(&self) -> PrimaryState {
         self.primary
     }
 
-    fn something_may_serve(&self) -> bool {
-        self.something_may_serve
+    fn any_database_may_serve(&self) -> bool {
+        self.any_database_may_serve
     }
 
     fn running(&self) -> usize {
         self.running
     }
 
-    fn has_untried(&self) -> bool {
-        self.has_untried
+    fn has_untried_database(&self) -> bool {
+        self.has_untried_database
     }
 }
 
-/// Nothing speaks against going on: the primary is usable, and nothing else can be tried.
-fn fine() -> Known {
-    Known {
+/// Inputs with no reason to give up: the primary is usable. No other database can be tried.
+fn fine() -> FixedInputs {
+    FixedInputs {
         elapsed: Duration::ZERO,
         objective: OBJECTIVE,
-        primary: Primary::Usable,
-        something_may_serve: true,
+        primary: PrimaryState::Usable,
+        any_database_may_serve: true,
         running: 0,
-        has_untried: false,
+        has_untried_database: false,
     }
 }
 
-fn late() -> Known {
-    Known {
+fn late() -> FixedInputs {
+    FixedInputs {
         elapsed: Duration::from_millis(400),
         ..fine()
     }
 }
 
-fn almost_late() -> Known {
-    Known {
+fn almost_late() -> FixedInputs {
+    FixedInputs {
         elapsed: Duration::from_millis(399),
         ..fine()
     }
 }
 
 /// The group has had no usable primary for `since_first`.
-fn missing(since_first: Duration) -> Known {
-    Known {
-        primary: Primary::Missing { since_first },
+fn missing(since_first: Duration) -> FixedInputs {
+    FixedInputs {
+        primary: PrimaryState::Missing { since_first },
         ..fine()
     }
 }
 
-fn nothing_may_serve() -> Known {
-    Known {
-        something_may_serve: false,
+fn nothing_may_serve() -> FixedInputs {
+    FixedInputs {
+        any_database_may_serve: false,
         ..fine()
     }
 }
 
-fn with_untried(circumstances: Known) -> Known {
-    Known {
-        has_untried: true,
-        ..circumstances
+fn with_untried(inputs: FixedInputs) -> FixedInputs {
+    FixedInputs {
+        has_untried_database: true,
+        ..inputs
     }
 }
 
-fn with_running(circumstances: Known) -> Known {
-    Known {
+fn with_running(inputs: FixedInputs) -> FixedInputs {
+    FixedInputs {
         running: 1,
-        ..circumstances
+        ..inputs
     }
 }
 
-fn not_run(refusal: FailureKind) -> Attempt {
-    Attempt::NotRun(refusal)
+fn not_run(refusal: FailureKind) -> UnansweredAttempt {
+    UnansweredAttempt::NotRun(refusal)
 }
 
-/// What holds for all operations.
+/// Cases that have the same result for all operations.
 #[rstest]
 #[case::busy_goes_on(FailureKind::Busy, fine(), None)]
 #[case::busy_goes_on_when_late(FailureKind::Busy, late(), None)]
@@ -135,14 +135,14 @@
 fn an_attempt_that_was_not_run(
     #[values(Read, Write, FirstOfTransaction)] operation: Operation,
     #[case] refusal: FailureKind,
-    #[case] circumstances: Known,
+    #[case] inputs: FixedInputs,
     #[case] expected: Option<Reason>,
 ) {
-    let verdict = after_attempt(operation, not_run(refusal), &circumstances);
-    assert_eq!(verdict.give_up, expected);
+    let after = after_attempt(operation, not_run(refusal), &inputs);
+    assert_eq!(after.give_up, expected);
 }
 
-/// While another database may serve it, neither a long queue nor a missing primary ends a statement.
+/// While another database may serve the statement, neither a long queue nor a missing primary ends it.
 #[rstest]
 #[case::long_queue(FailureKind::QueueTooLong, fine())]
 #[case::cold(FailureKind::DatabaseCold, fine())]
@@ -151,60 +151,57 @@
 fn an_alternative_keeps_it_going(
     #[values(Read, FirstOfTransaction)] operation: Operation,
     #[case] refusal: FailureKind,
-    #[case] circumstances: Known,
+    #[case] inputs: FixedInputs,
 ) {
-    let circumstances = with_untried(circumstances);
-    let verdict = after_attempt(operation, not_run(refusal), &circumstances);
-    assert_eq!(verdict.give_up, None);
+    let inputs = with_untried(inputs);
+    let after = after_attempt(operation, not_run(refusal), &inputs);
+    assert_eq!(after.give_up, None);
 }
 
 #[rstest]
 #[case(FailureKind::QueueTooLong, fine())]
 #[case(FailureKind::Busy, missing(LONG))]
-fn a_read_goes_on_while_an_attempt_runs(
-    #[case] refusal: FailureKind,
-    #[case] circumstances: Known,
-) {
-    let verdict = after_attempt(Read, not_run(refusal), &with_running(circumstances));
-    assert_eq!(verdict.give_up, None);
+fn a_read_goes_on_while_an_attempt_runs(#[case] refusal: FailureKind, #[case] inputs: FixedInputs) {
+    let after = after_attempt(Read, not_run(refusal), &with_running(inputs));
+    assert_eq!(after.give_up, None);
 }
 
-/// Where the operations differ.
+/// Cases in which the operations differ.
 #[rstest]
-#[case::read_doesnt_ask_whether_anything_may_serve(Read, None)]
-#[case::write_doesnt_ask_whether_anything_may_serve(Write, None)]
-#[case::transaction_asks(FirstOfTransaction, Some(Reason::NothingMayServe))]
+#[case::read_doesnt_check_it(Read, None)]
+#[case::write_doesnt_check_it(Write, None)]
+#[case::transaction_checks_it(FirstOfTransaction, Some(Reason::NothingMayServe))]
 fn nothing_may_serve_after_a_refusal(
     #[case] operation: Operation,
     #[case] expected: Option<Reason>,
 ) {
     let attempt = not_run(FailureKind::Busy);
-    let verdict = after_attempt(operation, attempt, &nothing_may_serve());
-    assert_eq!(verdict.give_up, expected);
+    let after = after_attempt(operation, attempt, &nothing_may_serve());
+    assert_eq!(after.give_up, expected);
 }
 
-/// A transaction asks whether anything may serve it only once its queue isn't too long; the reason tells
-/// the first that holds.
+/// The first statement of a transaction checks whether any database may serve it only if no refusal is
+/// final; the reason is the first condition that holds.
 #[rstest]
-#[case::hopeless_first(nothing_may_serve(), Some(Reason::QueueTooLong))]
+#[case::final_refusal_first(nothing_may_serve(), Some(Reason::QueueTooLong))]
 #[case::then_nothing_may_serve(with_untried(nothing_may_serve()), Some(Reason::NothingMayServe))]
 #[case::then_the_primary(with_untried(missing(LONG)), None)]
-fn a_transaction_asks_in_order(#[case] circumstances: Known, #[case] expected: Option<Reason>) {
+fn a_transaction_checks_in_order(#[case] inputs: FixedInputs, #[case] expected: Option<Reason>) {
     let attempt = not_run(FailureKind::QueueTooLong);
-    let verdict = after_attempt(FirstOfTransaction, attempt, &circumstances);
-    assert_eq!(verdict.give_up, expected);
+    let after = after_attempt(FirstOfTransaction, attempt, &inputs);
+    assert_eq!(after.give_up, expected);
 }
 
-/// After a lost answer only a transaction asks.
+/// After a lost answer the conditions are checked only for transactions.
 #[rstest]
 #[case::read_goes_on(Read, missing(LONG), None)]
 #[case::read_goes_on_though_nothing_may_serve(Read, nothing_may_serve(), None)]
-#[case::transaction_asks_for_the_primary(
+#[case::transaction_checks_the_primary(
     FirstOfTransaction,
     missing(LONG),
     Some(Reason::PrimaryUnavailable)
 )]
-#[case::transaction_asks_whether_anything_may_serve(
+#[case::transaction_checks_whether_any_database_may_serve(
     FirstOfTransaction,
     nothing_may_serve(),
     Some(Reason::NothingMayServe)
@@ -212,11 +209,11 @@
 #[case::transaction_goes_on(FirstOfTransaction, late(), None)]
 fn a_lost_answer(
     #[case] operation: Operation,
-    #[case] circumstances: Known,
+    #[case] inputs: FixedInputs,
     #[case] expected: Option<Reason>,
 ) {
-    let verdict = after_attempt(operation, Attempt::Lost, &circumstances);
-    assert_eq!(verdict.give_up, expected);
+    let after = after_attempt(operation, UnansweredAttempt::Lost, &inputs);
+    assert_eq!(after.give_up, expected);
 }
 
 #[rstest]
@@ -225,9 +222,9 @@
 #[case::nothing_may_serve(nothing_may_serve(), Some(Reason::NothingMayServe))]
 #[case::no_primary_for_long(missing(LONG), Some(Reason::PrimaryUnavailable))]
 #[case::no_primary_for_a_while(missing(Duration::ZERO), None)]
-fn a_read_without_a_database(#[case] circumstances: Known, #[case] expected: Option<Reason>) {
-    let verdict = after_attempt(Read, Attempt::NotStarted, &circumstances);
-    assert_eq!(verdict.give_up, expected);
+fn a_read_without_a_database(#[case] inputs: FixedInputs, #[case] expected: Option<Reason>) {
+    let after = after_attempt(Read, UnansweredAttempt::NotStarted, &inputs);
+    assert_eq!(after.give_up, expected);
 }
 
 /// Which attempts count as ones that found no usable primary, and so shorten the next wait for it.
@@ -236,60 +233,50 @@
 #[case::write(Write, not_run(FailureKind::Busy), missing(LONG), true)]
 #[case::transaction(FirstOfTransaction, not_run(FailureKind::Busy), missing(LONG), true)]
 #[case::read_with_alternative(Read, not_run(FailureKind::Busy), with_untried(missing(LONG)), true)]
-#[case::read_that_is_hopeless_anyway(
-    Read,
-    not_run(FailureKind::QueueTooLong),
-    missing(LONG),
-    false
-)]
-#[case::write_that_is_hopeless_anyway(
-    Write,
-    not_run(FailureKind::QueueTooLong),
-    missing(LONG),
-    false
-)]
-#[case::transaction_that_is_hopeless(
+#[case::read_with_a_final_refusal(Read, not_run(FailureKind::QueueTooLong), missing(LONG), false)]
+#[case::write_with_a_final_refusal(Write, not_run(FailureKind::QueueTooLong), missing(LONG), false)]
+#[case::transaction_with_a_final_refusal(
     FirstOfTransaction,
     not_run(FailureKind::QueueTooLong),
     missing(LONG),
     false
 )]
-#[case::read_hopeless_with_alternative(
+#[case::read_with_a_final_refusal_and_an_alternative(
     Read,
     not_run(FailureKind::QueueTooLong),
     with_untried(missing(LONG)),
     false
 )]
-#[case::transaction_hopeless_with_alternative(
+#[case::transaction_with_a_final_refusal_and_an_alternative(
     FirstOfTransaction,
     not_run(FailureKind::QueueTooLong),
     with_untried(missing(LONG)),
     true
 )]
-#[case::read_lost(Read, Attempt::Lost, missing(LONG), false)]
-#[case::transaction_lost(FirstOfTransaction, Attempt::Lost, missing(LONG), true)]
-#[case::read_not_started(Read, Attempt::NotStarted, missing(LONG), true)]
-#[case::usable(Read, Attempt::NotStarted, fine(), false)]
-#[case::nothing_may_serve(Read, Attempt::NotStarted, nothing_may_serve(), false)]
-fn attempts_that_missed_the_primary(
+#[case::read_lost(Read, UnansweredAttempt::Lost, missing(LONG), false)]
+#[case::transaction_lost(FirstOfTransaction, UnansweredAttempt::Lost, missing(LONG), true)]
+#[case::read_not_started(Read, UnansweredAttempt::NotStarted, missing(LONG), true)]
+#[case::usable(Read, UnansweredAttempt::NotStarted, fine(), false)]
+#[case::nothing_may_serve(Read, UnansweredAttempt::NotStarted, nothing_may_serve(), false)]
+fn attempts_that_found_no_primary(
     #[case] operation: Operation,
-    #[case] attempt: Attempt,
-    #[case] circumstances: Known,
+    #[case] attempt: UnansweredAttempt,
+    #[case] inputs: FixedInputs,
     #[case] expected: bool,
 ) {
-    let verdict = after_attempt(operation, attempt, &circumstances);
-    assert_eq!(verdict.missed_primary, expected);
+    let after = after_attempt(operation, attempt, &inputs);
+    assert_eq!(after.found_no_primary, expected);
 }
 
 #[rstest]
 #[case::lasting(true, Reason::NothingMayServe)]
 #[case::for_now(false, Reason::NoPrimaryInTime)]
 fn a_write_without_primary(#[case] is_lasting: bool, #[case] expected: Reason) {
-    assert_eq!(without_primary(is_lasting), expected);
+    assert_eq!(no_primary_reason(is_lasting), expected);
 }
 
-/// A read waits out its pause and then looks at the time; the others look whether the pause still fits.
-/// `left` is counted to the latest start.
+/// A read checks the time after its pause; the others check before it whether the pause still fits.
+/// `left_ms` is the time until the latest start, in milliseconds.
 #[rstest]
 #[case::read_with_time(Read, 1, 0, None)]
 #[case::read_at_its_latest_start(Read, 0, 0, Some(Reason::TimeUsedUp))]
--- a/crates/dyketally-gateway/tests/decision/main.rs
+++ b/crates/dyketally-gateway/tests/decision/main.rs
@@ -1,5 +1,5 @@
-//! The rules of `decision`, in tables. Where reads, writes and transactions differ, the case's name says
-//! so.
+//! Table tests of the rules in `decision`. Where reads, writes and transactions differ, the name of the
+//! case says so.
 
 mod choose;
 mod give_up;
--- a/crates/dyketally-gateway/tests/decision/retry.rs
+++ b/crates/dyketally-gateway/tests/decision/retry.rs
@@ -1,4 +1,4 @@
-//! What is sent again, how often, and after which pause.
+//! What is retried, how often, and after which pause.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use dyketally_gateway::decision::Operation::{self, FirstOfTransaction, Read, Write};
 use dyketally_gateway::decision::hedge::{LATE_ANSWER_LIMIT, wait_for_answer};
 use dyketally_gateway::decision::retry::{
-    AfterLoss, Attempts, after_loss, may_add, pause_of_read_after, repeats_in_transaction,
+    AfterLoss, Attempts, after_loss, may_start_attempt, read_pause_after, retries_in_transaction,
 };
 use rstest::rstest;
 
@@ -18,13 +18,13 @@
 #[case::the_twelfth(11, 0, true)]
 #[case::no_thirteenth(12, 0, false)]
 fn attempts_of_a_read(#[case] made: u32, #[case] running: usize, #[case] expected: bool) {
-    assert_eq!(may_add(Attempts { made, running }), expected);
+    assert_eq!(may_start_attempt(Attempts { made, running }), expected);
 }
 
 #[rstest]
-#[case::read(Read, AfterLoss::SendAgain)]
+#[case::read(Read, AfterLoss::Retry)]
 #[case::write_never(Write, AfterLoss::InDoubt)]
-#[case::transaction_begins_anew(FirstOfTransaction, AfterLoss::SendAgain)]
+#[case::transaction_starts_again(FirstOfTransaction, AfterLoss::Retry)]
 fn lost_answers(#[case] operation: Operation, #[case] expected: AfterLoss) {
     assert_eq!(after_loss(operation), expected);
 }
@@ -36,7 +36,7 @@
 #[case(FailureKind::ReadOnly, None)]
 fn pauses_of_a_read(#[case] refusal: FailureKind, #[case] expected_micros: Option<u64>) {
     let expected = expected_micros.map(Duration::from_micros);
-    assert_eq!(pause_of_read_after(refusal), expected);
+    assert_eq!(read_pause_after(refusal), expected);
 }
 
 #[rstest]
@@ -53,7 +53,7 @@
     #[case] expected: bool,
 ) {
     let left = Duration::from_millis(left_ms);
-    assert_eq!(repeats_in_transaction(refusal, state, left), expected);
+    assert_eq!(retries_in_transaction(refusal, state, left), expected);
 }
 
 #[rstest]
@@ -65,6 +65,6 @@
 }
 
 #[test]
-fn late_answers_are_waited_for_a_while() {
+fn wait_for_late_answers() {
     assert_eq!(LATE_ANSWER_LIMIT, Duration::from_millis(300));
 }
--- a/crates/dyketally-gateway/tests/decision/waits.rs
+++ b/crates/dyketally-gateway/tests/decision/waits.rs
@@ -1,4 +1,4 @@
-//! How long statements wait: behind others, and for a primary.
+//! How long statements wait in a queue, and for a primary.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 #[case::shares_of_the_objective(1_000, 500, 125)]
 #[case::the_shortest_wait_in_a_standing_queue(400, 200, 50)]
 #[case::the_shortest_wait_in_a_burst(80, 50, 50)]
-fn behind_others(#[case] objective_ms: u64, #[case] burst_ms: u64, #[case] standing_ms: u64) {
-    let patience = admit::patience(Duration::from_millis(objective_ms));
-    assert_eq!(patience.burst, Duration::from_millis(burst_ms));
-    assert_eq!(patience.standing, Duration::from_millis(standing_ms));
+fn in_a_queue(#[case] objective_ms: u64, #[case] burst_ms: u64, #[case] standing_ms: u64) {
+    let timeouts = admit::queue_timeouts(Duration::from_millis(objective_ms));
+    assert_eq!(timeouts.burst, Duration::from_millis(burst_ms));
+    assert_eq!(timeouts.standing, Duration::from_millis(standing_ms));
 }
 
 #[rstest]
--- a/crates/dyketally-gateway/tests/dispatch.rs
+++ b/crates/dyketally-gateway/tests/dispatch.rs
@@ -1,16 +1,16 @@
-//! When a statement counts as one that hasn't run.
+//! When a statement is proven not to have run.
 
 use dyketally_gateway::statement::dispatch::Dispatches;
 use rstest::rstest;
 
-/// How one attempt ends.
+/// How an attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
-    /// It found no connection.
+    /// No connection was found, so that the statement was not sent.
     NotHandedOver,
-    /// The database or a home rejected the statement unrun.
+    /// The database or a home rejected the statement without running it.
     Rejected,
-    /// The connection broke, or nobody waits for the answer any more.
+    /// The connection broke, or the attempt no longer waits for the answer.
     Dropped,
 }
 
