--- a/crates/dyketally-gateway/src/decision/admit.rs
+++ b/crates/dyketally-gateway/src/decision/admit.rs
@@ -1,7 +1,8 @@
-//! How long a statement waits in the queue for a connection to a database. A statement that joins a
-//! standing queue, one that hasn't been empty for a while, would be late; refused at once, it can be
-//! retried in time. A queue that was empty a moment ago evens out a burst and is worth waiting in.
-//! `dyketally::admission::Gate` tells the two kinds of queue apart.
+//! How long a statement waits in the queue for a connection to a database.
+//!
+//! A statement that joins a standing queue, one that hasn't been empty for a while, would be late; refused
+//! at once, it can be retried in time. A queue that was empty a moment ago evens out a burst and is worth
+//! waiting in. `dyketally::admission::Gate` tells the two kinds of queue apart.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 pub const STANDING_QUEUE_SHARE: f64 = 0.125;
 /// Queue timeout in a queue that evens out a burst, as a share of the route's latency objective. Compared
 /// with 0.125, the share of value earned rose from 0.892 to 0.899 and from 0.932 to 0.936 on two days under
-/// faults, and stayed within noise on a third fleet (same page).
+/// faults, and stayed within noise on a third fleet (`docs/measurements/overload-and-faults.md`).
 pub const BURST_QUEUE_SHARE: f64 = 0.5;
 /// Lower bound of the queue timeouts, so that a statement on a route with a short objective can still wait
 /// for a few others.
--- a/crates/dyketally-gateway/src/decision/choose.rs
+++ b/crates/dyketally-gateway/src/decision/choose.rs
@@ -1,7 +1,8 @@
-//! Which database serves a read, and what shows that its answer is fresh enough. Databases are ranked by
-//! expected latency plus penalties in milliseconds, for example for a cold database or one in another
-//! region. Any database qualifies whose log holds the position that the statement needs; while this node
-//! doesn't know that position, it requests it from the primary.
+//! Which database serves a read, and what shows that its answer is fresh enough.
+//!
+//! Databases are ranked by expected latency plus penalties in milliseconds, for example for a cold database
+//! or one in another region. Any database qualifies whose log holds the position that the statement needs;
+//! while this node doesn't know that position, it requests it from the primary.
 
 use dyketally::group::LogPosition;
 use dyketally::placement::Distance;
@@ -160,9 +161,10 @@
 }
 
 /// What to do next for a statement that needs the position `known`, or whose position isn't known yet.
-/// `best_leads` tells whether the best database is the primary. A read whose best database is the primary
-/// is sent there without a request for the position. The first statement of a transaction requests the
-/// position even then.
+/// `best_leads` tells whether the best database is the primary.
+///
+/// A read whose best database is the primary is sent there without a request for the position. The first
+/// statement of a transaction requests the position even then.
 pub fn next_step(operation: Operation, known: Option<LogPosition>, best_leads: bool) -> NextStep {
     match known {
         Some(position) => NextStep::Send(FreshnessCheck::Holds(position)),
--- a/crates/dyketally-gateway/src/decision/give_up.rs
+++ b/crates/dyketally-gateway/src/decision/give_up.rs
@@ -1,7 +1,8 @@
-//! When a statement is given up before its deadline, and why. A statement that can't be served is refused
-//! at once instead of being held until its deadline: its caller may reach another node, or retry once the
-//! load has dropped. The conditions are checked in the same order for all operations; which of them apply
-//! depends on the operation, see [`after_attempt`].
+//! When a statement is given up before its deadline, and why.
+//!
+//! A statement that can't be served is refused at once instead of being held until its deadline: its caller
+//! may reach another node, or retry once the load has dropped. The conditions are checked in the same order
+//! for all operations; which of them apply depends on the operation, see [`after_attempt`].
 
 use std::time::Duration;
 
@@ -95,11 +96,15 @@
 }
 
 /// Decides after an attempt whether the statement is given up. The conditions, in order:
+///
 /// 1. The refusal shows that waiting longer won't help.
 /// 2. No database of the group may serve the statement.
 /// 3. The group has had no usable primary for too long.
+///
 /// Conditions 1 and 3 don't end the statement while another attempt runs or an untried database may serve
-/// it. Which conditions are checked depends on the operation. A write can only go to the primary, and finds
+/// it.
+///
+/// Which conditions are checked depends on the operation. A write can only go to the primary, and finds
 /// condition 2 when it looks for the primary. A read checks condition 2 only when there was no database to
 /// send it to; it skips condition 3 when condition 1 holds or the answer was lost. The first statement of a
 /// transaction checks all three after each attempt.
--- a/crates/dyketally-gateway/src/decision/learn.rs
+++ b/crates/dyketally-gateway/src/decision/learn.rs
@@ -1,6 +1,7 @@
-//! What a refusal or an answer shows about the database that sent it. Only statements of the database about
-//! itself count here. Whether it can be reached, and how fast it answers, is recorded by `database::health`
-//! from the exchange.
+//! What a refusal or an answer shows about the database that sent it.
+//!
+//! Only statements of the database about itself count here. Whether it can be reached, and how fast it
+//! answers, is recorded by `database::health` from the exchange.
 
 use dyketally::group::LogPosition;
 use dyketally::statement::FailureKind;
@@ -29,8 +30,9 @@
     },
 }
 
-/// What a refusal shows about the database that was asked to make `check`. Refusals of reads update the
-/// estimate of the replication lag, those of transactions don't.
+/// What a refusal shows about the database that was asked to make `check`.
+///
+/// Refusals of reads update the estimate of the replication lag, those of transactions don't.
 pub fn from_refusal(
     operation: Operation,
     check: FreshnessCheck,
@@ -72,7 +74,7 @@
     }
 }
 
-/// What the reply to a read is worth that was sent after a `BEGIN` which only a leader accepts.
+/// Result of a read that was sent after a `BEGIN` which only a leader accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadAfterBegin {
     /// The read has not run.
--- a/crates/dyketally-gateway/src/decision/mod.rs
+++ b/crates/dyketally-gateway/src/decision/mod.rs
@@ -1,7 +1,9 @@
-//! Rules that decide how statements are routed, queued, retried, refused and given up. Each file holds one
-//! rule: pure functions that take named inputs and return a typed result. A result that ends a statement
-//! carries the [`Reason`] that the log prints. The loops in `statement` collect the inputs, call the rules
-//! and carry out the results.
+//! Rules that decide how statements are routed, queued, retried, refused and given up.
+//!
+//! Each file holds one rule: pure functions that take named inputs and return a typed result. A result that
+//! ends a statement carries the [`Reason`] that the log prints. The loops in `statement` collect the inputs,
+//! call the rules and carry out the results.
+//!
 //! | question | rule |
 //! |---|---|
 //! | Which database serves a read, and what shows that its answer is fresh enough? | [`choose`] |
@@ -13,6 +15,7 @@
 //! | Which error does the caller receive for a statement without an answer? | [`refuse`] |
 //! | What does a refusal or an answer show about the database that sent it? | [`learn`] |
 //! | When should a refused caller retry? | [`come_back`] |
+//!
 //! The folder owns no state, does no I/O and reads no clock; random samples are passed in. It depends on
 //! types of the library, and on `Instant` for deadlines.
 
--- a/crates/dyketally-gateway/src/decision/refuse.rs
+++ b/crates/dyketally-gateway/src/decision/refuse.rs
@@ -1,6 +1,7 @@
-//! Which error the caller receives for a statement without an answer. The caller is told that a statement
-//! has not run only if that is proven: every database and home that it was sent to has rejected it. `P` is
-//! the type of the proof, which is passed on into the error.
+//! Which error the caller receives for a statement without an answer.
+//!
+//! The caller is told that a statement has not run only if that is proven: every database and home that it
+//! was sent to has rejected it. `P` is the type of the proof, which is passed on into the error.
 
 use dyketally::statement::FailureKind;
 
--- a/crates/dyketally-gateway/src/decision/retry.rs
+++ b/crates/dyketally-gateway/src/decision/retry.rs
@@ -1,7 +1,8 @@
-//! What is retried, how often, and after which pause. A statement that has not run is retried until its
-//! time is over. A statement whose answer was lost may have run: a read is retried, a write never. A
-//! transaction is started again if only its first statement was sent, since it has no effect before it
-//! commits.
+//! What is retried, how often, and after which pause.
+//!
+//! A statement that has not run is retried until its time is over. A statement whose answer was lost may
+//! have run: a read is retried, a write never. A transaction is started again if only its first statement
+//! was sent, since it has no effect before it commits.
 
 use std::time::Duration;
 
--- a/crates/dyketally-gateway/src/decision/wait.rs
+++ b/crates/dyketally-gateway/src/decision/wait.rs
@@ -1,7 +1,8 @@
-//! How long statements wait for a usable primary. Replacing a primary takes about a second, during which it
-//! is best to wait. A primary that has been unusable from this node for longer may be usable from other
-//! nodes, which callers reach when they retry; from then on a statement is refused as soon as an attempt
-//! has failed.
+//! How long statements wait for a usable primary.
+//!
+//! Replacing a primary takes about a second, during which it is best to wait. A primary that has been
+//! unusable from this node for longer may be usable from other nodes, which callers reach when they retry;
+//! from then on a statement is refused as soon as an attempt has failed.
 
 use std::time::Duration;
 
--- a/crates/dyketally-gateway/src/quota/mod.rs
+++ b/crates/dyketally-gateway/src/quota/mod.rs
@@ -1,8 +1,9 @@
-//! Permits for operations of tenants that have a quota. A permit is asked for at the tenant's
-//! accountant, before the operation's first statement is sent; see [`dyketally::quota`].
+//! Permits for operations of tenants that have a quota. Before an operation's first statement is sent, a
+//! permit is requested from the tenant's accountant; see [`dyketally::quota`].
 //!
 //! [`Quotas`] owns what this node has granted as an accountant, the operations that it may still permit,
-//! and what it learnt from questions. It relies on the fleet for the nodes and the way to them.
+//! and which nodes answered its requests. Depends on `fleet` for the nodes and for sending requests to
+//! them.
 
 mod permit_requests;
 mod reachability;
@@ -24,11 +25,11 @@
 use crate::fleet::Fleet;
 use crate::measures::Stage;
 
-/// Nodes that share a quota at least, as far as a node goes that has nobody to ask: after a start it
-/// may not know yet how many there are.
+/// Minimum number of nodes that a node without a reachable accountant divides a quota by: after a start it
+/// may not know yet how many nodes there are.
 const MIN_NODES_ASSUMED: u32 = 32;
 
-/// Quotas as this node keeps them.
+/// Quotas of tenants as this node enforces them.
 pub struct Quotas {
     cx: Rc<Context>,
     fleet: Rc<Fleet>,
@@ -39,7 +40,7 @@
 }
 
 impl Quotas {
-    /// Nothing is known yet.
+    /// Quotas of a node that has just started.
     pub fn new(cx: Rc<Context>, fleet: Rc<Fleet>) -> Rc<Self> {
         let tolerated = cx.settings.bounds.quota_slack;
         Rc::new(Self {
@@ -61,13 +62,14 @@
     }
 }
 
-/// Leave to run one operation. Dropping it uses it up; [`Permit::give_back`] keeps it for another.
+/// Permission to run one operation. Dropping it uses it up; [`Permit::give_back`] returns it for another
+/// operation.
 pub struct Permit {
     limited: Option<(Rc<Quotas>, TenantName)>,
 }
 
 impl Permit {
-    /// Gives it back, since the operation hasn't run.
+    /// Returns the permit of an operation that has not run.
     pub fn give_back(self) {
         if let Some((quotas, tenant)) = self.limited {
             let now = quotas.cx.now();
@@ -76,15 +78,15 @@
     }
 }
 
-/// The tenant has used up its quota.
+/// Error: the tenant has used up its quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaExceeded {
-    /// When its caller may try again.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
 impl Quotas {
-    /// Leave to run one operation of `tenant`; nothing is waited for beyond `until`.
+    /// Obtains permission to run one operation of `tenant`, and waits for it no longer than `until`.
     ///
     /// # Errors
     /// The tenant has used up its quota.
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Decides without an accountant.
+    /// Decides without an accountant, by this node's part of the quota.
     fn permit_without_accountant(
         &self,
         tenant: &TenantName,
@@ -156,8 +158,8 @@
         taken.map_err(|retry_after| QuotaExceeded { retry_after })
     }
 
-    /// Decides in `role` on a question for `wanted` operations of `tenant`; `None` when the
-    /// configuration in force gives it no quota.
+    /// Decides in `role` on a request for `wanted` operations of `tenant`; `None` when the current
+    /// configuration gives the tenant no quota.
     pub fn account(
         self: &Rc<Self>,
         tenant: &TenantName,
--- a/crates/dyketally-gateway/src/quota/permit_requests.rs
+++ b/crates/dyketally-gateway/src/quota/permit_requests.rs
@@ -1,4 +1,4 @@
-//! Questions to accountants, over datagrams that may get lost.
+//! Requests for permits to accountants, sent as datagrams that may get lost.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,31 +16,34 @@
 use crate::fleet::passed_over::PassedOver;
 use crate::fleet::peer::Peers;
 
-/// Nodes that may be asked: the accountant and its stand-ins. In a split, an operation on the side with 35%
-/// of the nodes finds none of eight there 3 times in 100 (0.65 to the power of 8), none of four 18 times.
+/// Maximum number of nodes that are asked for a permit: the accountant and its stand-ins. In a network
+/// split, an operation on the side with 35% of the nodes finds none of eight there 3 times in 100 (0.65 to
+/// the power of 8), none of four 18 times.
 const MAX_NODES_ASKED: usize = 8;
-/// How long an answer is waited for: twice the way to another region and back.
+/// How long the answer to a request is waited for: twice the round trip to another region.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(90);
-/// Times that one node is asked for one operation, at most.
+/// Maximum number of requests to one node for one operation.
 const MAX_REQUESTS_PER_NODE: u32 = 3;
-/// Questions in a row that a node leaves unanswered before it is passed over for a while; one may have
-/// been lost under way.
+/// Number of consecutive requests without an answer after which a node is excluded for a while; a single
+/// one may have been lost on the network.
 const MAX_MISSED_ANSWERS: u32 = 2;
-/// Questions in a row without any answer, and the time since the last answer, after which this node
-/// counts as cut off from all.
+/// Number of consecutive requests without an answer from any node after which this node counts as cut off,
+/// provided that [`CUT_OFF_SILENCE`] has passed too.
 const CUT_OFF_AFTER: u32 = 6;
+/// Time since the last answer of any node after which this node may count as cut off.
 const CUT_OFF_SILENCE: Duration = Duration::from_secs(1);
-/// How long a node that counts as cut off asks nobody.
+/// How long a node that counts as cut off sends no requests.
 const CUT_OFF_DURATION: Duration = Duration::from_millis(600);
 
-/// What was learnt from questions so far.
+/// Which nodes answered the requests so far.
 #[derive(Default)]
 pub(super) struct PermitRequests {
     excluded: PassedOver,
-    /// Questions that a node has left unanswered since its last answer.
+    /// Number of requests that each node has left unanswered since its last answer.
     missed: RefCell<HashMap<SocketAddr, u32>>,
-    /// Questions in a row that nobody answered, and when one was last answered.
+    /// Number of consecutive requests without an answer from any node.
     unanswered: Cell<u32>,
+    /// When a node last answered a request.
     last_answer: Cell<Option<Instant>>,
     cut_off_since: Cell<Option<Instant>>,
 }
@@ -75,8 +78,8 @@
 }
 
 impl Quotas {
-    /// What the accountant of `tenant`, or else a stand-in, says to a question for `wanted`
-    /// operations; `None` when none of them answers.
+    /// Requests `wanted` operations from the accountant of `tenant`, or else from a stand-in. Returns the
+    /// decision, or `None` when no node answers.
     pub(super) async fn request_permits(
         self: &Rc<Self>,
         tenant: &TenantName,
@@ -91,8 +94,8 @@
             let Some(address) = node else {
                 return self.account(tenant, wanted, asked_as);
             };
-            // A node is left for the next only once it is passed over: two that hand out tokens for the
-            // same nodes would hand out twice as many.
+            // The next node is asked only once this one is excluded: two nodes that grant operations of one tenant to
+            // the same nodes would grant twice as many.
             for _ in 0..MAX_REQUESTS_PER_NODE {
                 if permit_requests.is_cut_off() || permit_requests.excluded.contains(&address) {
                     break;
@@ -111,7 +114,7 @@
         None
     }
 
-    /// The accountant of `tenant` and its stand-ins; `None` stands for this node.
+    /// Addresses of the accountant of `tenant` and its stand-ins; `None` stands for this node.
     fn accountants(&self, tenant: &TenantName) -> Vec<Option<SocketAddr>> {
         let nodes = self.fleet.membership.nodes();
         let candidates = nodes.values().map(|node| node.candidate());
@@ -125,7 +128,7 @@
     }
 }
 
-/// Asks one node.
+/// Requests a permit from one node.
 async fn request_permit(
     peers: &Rc<Peers>,
     address: SocketAddr,
--- a/crates/dyketally-gateway/src/quota/reachability.rs
+++ b/crates/dyketally-gateway/src/quota/reachability.rs
@@ -1,4 +1,5 @@
-//! The share of the nodes that this one reaches, found out by asking a few of them while it matters.
+//! Measures which share of the nodes this node reaches, by a request to a random sample while the share
+//! matters.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,17 +11,17 @@
 use super::Quotas;
 use crate::fleet::message::PeerMessage;
 
-/// Nodes that are asked each time, drawn at random: their number doesn't grow with the fleet.
+/// Number of nodes in a sample. It doesn't grow with the fleet.
 const SAMPLE_SIZE: usize = 24;
-/// Pause between two times.
+/// Minimum interval between the starts of two measurements.
 const MIN_INTERVAL: Duration = Duration::from_millis(1_500);
-/// How long replies are waited for: the way to another region and back, and a pause of a node whose
-/// share of its processor is used up.
+/// How long replies are waited for: the round trip to another region, plus the pause of a node whose share
+/// of its processor is used up.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long what was found out counts.
+/// How long a result is valid.
 const VALID_FOR: Duration = Duration::from_secs(4);
 
-/// What was last found out.
+/// The last measurement.
 #[derive(Debug, Default)]
 pub(super) struct Reachability {
     last_result: Cell<Option<(Instant, f64)>>,
@@ -28,7 +29,7 @@
 }
 
 impl Reachability {
-    /// The share, taken for all while it isn't known.
+    /// The share of the nodes that this node reaches; 1 while no result is valid.
     pub(super) fn share(&self) -> f64 {
         let last_result = self
             .last_result
@@ -39,7 +40,8 @@
 }
 
 impl Quotas {
-    /// Finds out the share of the nodes that this one reaches, unless that was done lately.
+    /// Starts to measure the share of the nodes that this node reaches, unless a measurement was started
+    /// recently.
     pub(super) fn measure_reachability(self: &Rc<Self>) {
         let reachability = &self.reachability;
         let is_recent = reachability
@@ -73,7 +75,7 @@
             {
                 replied += 1;
             }
-            // This node reaches itself.
+            // This node counts as reached.
             let share = (replied + 1) as f64 / (asked.len() + 1) as f64;
             let last_result = Some((Instant::now(), share));
             quotas.reachability.last_result.set(last_result);
--- a/crates/dyketally-gateway/src/session/admission.rs
+++ b/crates/dyketally-gateway/src/session/admission.rs
@@ -1,4 +1,4 @@
-//! What an operation may use, and on whose behalf.
+//! Which route an operation uses, and for which tenant it runs.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 use crate::context::Context;
 use crate::statement::request::Response;
 
-/// What an operation may use, by the configuration in force as it began.
+/// Route and tenant of an operation, by the configuration that was current as it began.
 #[derive(Clone)]
 pub(super) struct Admission {
     /// The route.
     pub(super) route: Rc<RoutePolicy>,
-    /// Whose operation it is, where callers need a key.
+    /// The caller's tenant, on routes that need an API key.
     pub(super) tenant: Option<Arc<Tenant>>,
 }
 
 impl Admission {
-    /// What a caller with `key` may use that asks for `database`; or the refusal.
+    /// Admits a caller with `key` to `database`, or returns the error for the caller.
     pub(super) fn of(cx: &Context, database: &str, key: &ApiKey) -> Result<Self, Response> {
         let routes = cx.routes();
         let Some(route) = routes.routes.get(database) else {
             return Err(Response::failed(
                 FailureKind::UnknownDatabase,
-                "no route leads to this database; check its name",
+                "no route is configured for this database; check its name",
             ));
         };
         if routes.needs_key(route) && !cx.keys_hold() {
@@ -48,8 +48,8 @@
         }
     }
 
-    /// True while a transaction that was admitted may go on. It goes on by the configuration that held
-    /// as it began, but not while the node can't know whether its key still stands.
+    /// True while an admitted transaction may go on. It keeps the configuration that was current as it began,
+    /// but stops while this node can't know whether its API key is still valid.
     pub(super) fn is_valid(&self, cx: &Context) -> bool {
         self.tenant.is_none() || cx.keys_hold()
     }
--- a/crates/dyketally-gateway/src/session/caller.rs
+++ b/crates/dyketally-gateway/src/session/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's side of a session: messages in, replies out.
+//! The caller's connection of a session: reads messages and writes replies.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,33 +18,34 @@
 
 /// Longest time from the connection to the first message.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The same where the caller is refused whatever it asks for: each of them holds a descriptor.
+/// Longest time from the connection to the first message when the session is refused anyway: each such
+/// connection holds a descriptor.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time that a new session waits for a first configuration.
+/// Longest time that a new session waits for the first configuration.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(1_600);
 /// Longest time that a caller may take to accept an answer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes reserved for each read.
+/// Bytes reserved in the buffer for each read.
 const READ_CHUNK: usize = 1_024;
 
-/// What a caller asks for as it connects.
+/// The first message of a caller.
 pub(super) struct ConnectRequest {
-    /// The database.
+    /// The requested database.
     pub(super) database: String,
-    /// What proves its tenant.
+    /// API key that identifies the tenant.
     pub(super) key: ApiKey,
 }
 
-/// The connection of a caller.
+/// A caller's connection.
 pub(super) struct Caller {
     sessions: Rc<Sessions>,
     stream: TcpStream,
     input: BytesMut,
-    /// Its share of the input that this node keeps.
+    /// Counts the bytes in `input` towards the limit of this node.
     buffered: BufferedInput,
 }
 
-/// What a session waits for.
+/// What ends a session's wait for the caller.
 pub(super) enum SessionEvent {
     Message(CallerMessage),
     Closed,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Waits for the first message; `None` when no session comes of it.
+    /// Reads the first message, checks it and confirms the session. Returns `None` when no session is opened.
     pub(super) async fn handshake(&mut self) -> Option<ConnectRequest> {
         let message = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.next_message()).await;
         let SessionEvent::Message(CallerMessage::Connect { database, key }) = message.ok()? else {
@@ -78,7 +79,7 @@
         if !self.sessions.cx.is_configured() {
             let response = Response::failed(
                 FailureKind::Overloaded,
-                "this node has no configuration yet; connect to another one, or again later",
+                "this node has received no configuration yet; connect to another node, or retry later",
             );
             self.refuse(response).await;
             return None;
@@ -95,22 +96,22 @@
         Some(ConnectRequest { database, key })
     }
 
-    /// Waits for the first message for a moment, and tells the caller to go to another node.
+    /// Waits briefly for the first message, and refuses the session with the advice to connect to another node.
     pub(super) async fn refuse_handshake(&mut self) {
         let message = tokio::time::timeout(REFUSAL_TIMEOUT, self.next_message()).await;
         if let Ok(SessionEvent::Message(_)) = message {
             let response = Response::failed(
                 FailureKind::Overloaded,
-                "this node has no room for another session; connect to another one",
+                "this node has reached its session limit; connect to another node",
             );
             self.refuse(response).await;
         }
     }
 
-    /// Tells the caller why there is no session, or no longer one.
+    /// Sends the caller the reason why no session is opened, or why the session ends.
     pub(super) async fn refuse(&mut self, response: Response) {
         if let Err(failure) = response.end {
-            // The caller may be gone already.
+            // A failed write is ignored: the caller may have disconnected.
             let _ = self.write(&[Reply::Failed(failure)]).await;
         }
     }
@@ -126,7 +127,7 @@
             self.buffered.set(self.input.len());
             if !self.buffered.fits() {
                 return SessionEvent::ProtocolError(
-                    "this node has no memory left for long messages".to_owned(),
+                    "this node's memory for incomplete messages is used up".to_owned(),
                 );
             }
             self.input.reserve(READ_CHUNK);
@@ -147,7 +148,7 @@
         written.ok()?.ok()
     }
 
-    /// Sends the answer to a statement; `None` when the caller is gone.
+    /// Sends the answer to a statement; `None` when the caller can't be reached.
     pub(super) async fn answer(
         &mut self,
         response: Response,
--- a/crates/dyketally-gateway/src/session/load.rs
+++ b/crates/dyketally-gateway/src/session/load.rs
@@ -1,4 +1,4 @@
-//! How many sessions this node has open, and how much input they keep.
+//! Number of open sessions of this node, and the size of their buffered input.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,18 +8,18 @@
 use crate::context::Context;
 use crate::event::Event;
 
-/// The sessions of this node against what it can hold.
+/// The open sessions of this node, compared with its capacity.
 pub(super) struct SessionLoad {
     cx: Rc<Context>,
     capacity: Capacity,
     open: Cell<u32>,
-    /// Bytes of input that isn't a whole message yet.
+    /// Bytes of incomplete messages, over all callers.
     buffered: Rc<Cell<u64>>,
     full: Cell<bool>,
 }
 
 impl SessionLoad {
-    /// No sessions yet.
+    /// The load of a node without sessions.
     pub(super) fn new(cx: Rc<Context>) -> Rc<Self> {
         Rc::new(Self {
             capacity: cx.settings.node.capacity(),
@@ -30,22 +30,22 @@
         })
     }
 
-    /// How many are open, those that are being refused included.
+    /// Number of open sessions, including those that are being refused.
     pub(super) fn open(&self) -> usize {
         self.open.get() as usize
     }
 
-    /// What becomes of one more.
+    /// What to do with one more session.
     pub(super) fn evaluate_next(&self) -> SessionVerdict {
         self.capacity.judge(self.open.get())
     }
 
-    /// True while no further ones should come.
+    /// True while this node should get no new sessions.
     pub(super) fn is_full(&self) -> bool {
         self.full.get()
     }
 
-    /// Sets how many are open; true if that changes whether further ones should come.
+    /// Sets the number of open sessions; returns true if that changes whether the node should get new ones.
     fn set_open(&self, open: u32) -> bool {
         self.open.set(open);
         let full = self.capacity.is_full(open, self.full.get());
@@ -53,11 +53,11 @@
     }
 }
 
-/// A session that counts as open until this is dropped.
+/// Counts as an open session until it is dropped.
 pub(super) struct OpenSession(Rc<SessionLoad>);
 
 impl OpenSession {
-    /// Counts one more.
+    /// Counts one more open session.
     pub(super) fn begin(load: &Rc<SessionLoad>) -> Self {
         let session = Self(load.clone());
         session.count(load.open.get() + 1);
@@ -79,7 +79,7 @@
     }
 }
 
-/// The input that one caller's connection keeps, given back when this is dropped.
+/// Size of one connection's buffered input; no longer counted once this is dropped.
 pub(super) struct BufferedInput {
     own: u64,
     all: Rc<Cell<u64>>,
@@ -87,7 +87,7 @@
 }
 
 impl BufferedInput {
-    /// Nothing yet.
+    /// A connection without buffered input.
     pub(super) fn none(load: &SessionLoad) -> Self {
         Self {
             own: 0,
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Sets how many bytes are kept now.
+    /// Sets the number of buffered bytes.
     pub(super) fn set(&mut self, bytes: usize) {
         let bytes = bytes as u64;
         self.all.set(self.all.get() - self.own + bytes);
         self.own = bytes;
     }
 
-    /// True while all connections together keep no more than they may, or this one keeps nothing.
+    /// True while the input of all connections together is within the limit, or this connection has none.
     pub(super) fn fits(&self) -> bool {
         self.own == 0 || self.limit.is_none_or(|limit| self.all.get() <= limit)
     }
--- a/crates/dyketally-gateway/src/session/mod.rs
+++ b/crates/dyketally-gateway/src/session/mod.rs
@@ -1,12 +1,12 @@
-//! Callers' sessions: their connections, values, prepared statements and transactions, and the room that
-//! this node has for them.
+//! Sessions of callers: their connections, values, prepared statements and transactions, and how many of
+//! them this node can hold.
 //!
-//! A message comes in through `caller`, `serving` answers it or passes a statement to `operation`, which has
-//! `admission` find its route and tenant, obtains a permit and serves it by the part `statement`. `room`
-//! counts sessions and the input that they keep.
+//! `caller` reads a message. `serving` answers it or passes a statement to `operation`, which gets its
+//! route and tenant from `admission`, obtains a permit and runs it with `statement`. `load` counts the
+//! sessions and their buffered input.
 //!
-//! [`Sessions`] owns the room; each session owns what it keeps between statements. Relies on `statement` to
-//! serve, and on `quota` for permits.
+//! [`Sessions`] owns the load; each session owns its state between statements. Depends on `statement` to
+//! run statements, and on `quota` for permits.
 
 mod admission;
 mod caller;
@@ -29,8 +29,8 @@
 use crate::quota::Quotas;
 use crate::statement::Statements;
 
-/// Pause before a caller is accepted after a failure: shorter than for other listeners, since callers wait;
-/// not measured.
+/// Pause before the next caller is accepted after a failure: shorter than for other listeners, since
+/// callers are waiting.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// The sessions of this node.
@@ -43,7 +43,7 @@
 }
 
 impl Sessions {
-    /// None yet.
+    /// A node without sessions.
     pub fn new(
         cx: Rc<Context>,
         protocol: SharedCallerProtocol,
@@ -60,12 +60,12 @@
         })
     }
 
-    /// How many are open, those that are being refused included.
+    /// Number of open sessions, including those that are being refused.
     pub fn open(&self) -> usize {
         self.load.open()
     }
 
-    /// True while no further ones should come.
+    /// True while this node should get no new sessions.
     pub fn is_full(&self) -> bool {
         self.load.is_full()
     }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Serves a connection that a caller opened, or refuses it where there is no room.
+/// Serves a new connection of a caller; refuses or closes it when this node is full.
 fn handle_connection(sessions: &Rc<Sessions>, stream: TcpStream) {
     let verdict = sessions.load.evaluate_next();
     if verdict != SessionVerdict::Serve {
@@ -98,7 +98,7 @@
     });
 }
 
-/// Serves one caller until it leaves or the process stops.
+/// Serves one caller until it disconnects or the process stops.
 async fn serve(sessions: Rc<Sessions>, stream: TcpStream, _open: OpenSession) {
     prepare_socket(&stream);
     sessions.cx.counters.sessions.add();
@@ -110,7 +110,7 @@
     session.run(&mut caller).await;
 }
 
-/// Tells a caller that this node has no room for it.
+/// Refuses a session because this node is full.
 async fn refuse(sessions: Rc<Sessions>, stream: TcpStream, _open: OpenSession) {
     prepare_socket(&stream);
     let mut caller = Caller::new(sessions, stream);
--- a/crates/dyketally-gateway/src/session/operation.rs
+++ b/crates/dyketally-gateway/src/session/operation.rs
@@ -1,5 +1,5 @@
-//! Operations of a session: single statements and the statements of transactions, from admission to the
-//! log line.
+//! Operations of a session: runs single statements and the statements of transactions, from admission to
+//! the log line.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use crate::statement::transaction::Transaction;
 
 impl Session {
-    /// Ends the transaction and keeps its writes.
+    /// Commits the open transaction.
     pub(super) async fn commit(
         &mut self,
         statement: CallerStatement,
@@ -49,7 +49,7 @@
         (answer.response, answer.state)
     }
 
-    /// Runs a read or write, on its own or in the transaction that is open.
+    /// Runs a read or write, on its own or in the open transaction.
     pub(super) async fn run_statement(
         &mut self,
         statement: CallerStatement,
@@ -96,7 +96,7 @@
         (answer.response, answer.state)
     }
 
-    /// Rolls back a transaction whose key may have been taken away unnoticed.
+    /// Rolls back a transaction whose API key may have been revoked without this node's knowledge.
     fn roll_back_key_uncertain(
         &self,
         transaction: &mut Transaction,
@@ -140,7 +140,7 @@
         response
     }
 
-    /// Obtains a permit for a transaction that has none yet, before anything of it is sent.
+    /// Obtains a permit for a transaction that has none yet, before any of its statements is sent.
     async fn permit_transaction(
         &self,
         transaction: &mut Transaction,
@@ -163,7 +163,7 @@
         Ok(())
     }
 
-    /// What the next operation may use; or the refusal.
+    /// Admits the next operation, or returns the error for the caller.
     pub(super) fn admit(&self) -> Result<Admission, Response> {
         Admission::of(&self.sessions.cx, &self.database, &self.key)
     }
--- a/crates/dyketally-gateway/src/session/serving.rs
+++ b/crates/dyketally-gateway/src/session/serving.rs
@@ -1,4 +1,4 @@
-//! One session from connect to close: messages in their order, and what it keeps between them.
+//! A session from connect to close: serves its messages in order and keeps its state in between.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 use crate::statement::request::{Execution, Response};
 use crate::statement::transaction::Transaction;
 
-/// What signs a statement that the gateway answers itself.
+/// Signature of the answer to a statement that the gateway answers itself.
 const OWN_SIGNATURE: &[u8] = b"-";
 
 /// A caller's session.
@@ -30,7 +30,7 @@
     pub(super) values: BTreeMap<String, String>,
     pub(super) prepared: HashMap<String, PreparedStatement>,
     pub(super) transaction: Option<Transaction>,
-    /// Of the transaction that is open.
+    /// Admission of the open transaction.
     pub(super) admission: Option<Admission>,
     pub(super) own_commit: Option<LogPosition>,
 }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Serves its statements one after the other, until the caller leaves or the process stops.
+    /// Serves the session's statements one after the other, until the caller disconnects or the process stops.
     pub(super) async fn run(&mut self, caller: &mut Caller) {
         loop {
             match self.next_event(caller).await {
@@ -96,8 +96,8 @@
         transaction.is_some_and(|transaction| !transaction.failed)
     }
 
-    /// Waits until a planned stop asks this session to end: between operations as soon as
-    /// callers have other nodes to go to, later within a transaction.
+    /// Waits until a planned stop requires this session to end: between operations as soon as callers have
+    /// other nodes to connect to, within a transaction later.
     async fn stop_requested(&self) {
         let phase = match self.transaction.is_some() {
             true => StopPhase::EndingTransactions,
--- a/crates/dyketally-gateway/src/statement/choose.rs
+++ b/crates/dyketally-gateway/src/statement/choose.rs
@@ -1,6 +1,7 @@
-//! Chooses the database for a statement, by the rules in [`crate::decision::choose`]. Collects the inputs
-//! of the rules: the group's databases in the directory, what this node has observed of them, and the
-//! position that the statement needs.
+//! Chooses the database for a statement, by the rules in [`crate::decision::choose`].
+//!
+//! Collects the inputs of the rules: the group's databases in the directory, what this node has observed of
+//! them, and the position that the statement needs.
 
 use std::rc::Rc;
 
--- a/crates/dyketally-gateway/src/statement/dispatch.rs
+++ b/crates/dyketally-gateway/src/statement/dispatch.rs
@@ -1,6 +1,8 @@
-//! Tracks whether a statement may have run. A statement that is passed to a connection counts as one that
-//! may have run, even if the connection breaks, until a database or a home replies that it has not. Callers
-//! are told that a statement has not run only with a [`ProvenNotRun`] of its dispatches.
+//! Tracks whether a statement may have run.
+//!
+//! A statement that is passed to a connection counts as one that may have run, even if the connection
+//! breaks, until a database or a home replies that it has not. Callers are told that a statement has not
+//! run only with a [`ProvenNotRun`] of its dispatches.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/dyketally-gateway/src/statement/mod.rs
+++ b/crates/dyketally-gateway/src/statement/mod.rs
@@ -1,10 +1,12 @@
-//! Serves statements: requests, the choice of a database, reads, writes and transactions. [`Statements`]
-//! serves single statements (`read`, `write`) and those of a [`transaction`], which is owned by its
-//! session. Both collect the inputs of the rules in [`crate::decision`] and carry out their results:
+//! Serves statements: requests, the choice of a database, reads, writes and transactions.
+//!
+//! [`Statements`] serves single statements (`read`, `write`) and those of a [`transaction`], which is owned
+//! by its session. Both collect the inputs of the rules in [`crate::decision`] and carry out their results:
 //! `choose` finds a database, `attempt` sends to it, `ending` decides why a statement ends and what its
-//! caller receives. [`dispatch`] tracks whether a statement may have run. The only state is the time of the
-//! last log line about a group that no database may serve. Depends on `database`, on `fleet` for access to
-//! databases, and on `succession` for leadership.
+//! caller receives. [`dispatch`] tracks whether a statement may have run.
+//!
+//! The only state is the time of the last log line about a group that no database may serve. Depends on
+//! `database`, on `fleet` for access to databases, and on `succession` for leadership.
 
 mod attempt;
 mod choose;
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -234,6 +234,7 @@
 
     /// Sends the statement to the database as part of `batch`. The caller of this method marks the dispatch as
     /// rejected if an answer says that the statement has not run.
+    ///
     /// # Errors
     /// The batch has no answers; the error tells whether it may have run.
     pub async fn exchange(
--- a/crates/dyketally-gateway/src/statement/transaction/first.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/first.rs
@@ -1,4 +1,5 @@
 //! The first statement of a transaction: finds the transaction's database and opens the transaction there.
+//!
 //! A transaction has no effect before it commits, so a first statement whose answer was lost is run again
 //! in a new transaction.
 
--- a/crates/dyketally-gateway/src/statement/transaction/mod.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/mod.rs
@@ -1,6 +1,8 @@
 //! Transactions: opened at a database with their first statement, and bound to that connection until they
-//! end. A [`Transaction`] owns the connection that it is bound to and its tenant's permit; dropping it
-//! rolls it back. `first` finds its database, `bound` sends statements to it, `commit` commits it.
+//! end.
+//!
+//! A [`Transaction`] owns the connection that it is bound to and its tenant's permit; dropping it rolls it
+//! back. `first` finds its database, `bound` sends statements to it, `commit` commits it.
 
 mod bound;
 mod commit;
--- a/crates/dyketally-gateway/tests/dispatch.rs
+++ b/crates/dyketally-gateway/tests/dispatch.rs
@@ -7,18 +7,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
     /// No connection was found, so that the statement was not sent.
-    NotHandedOver,
+    NotSent,
     /// The database or a home rejected the statement without running it.
     Rejected,
     /// The connection broke, or the attempt no longer waits for the answer.
     Dropped,
 }
 
-const ENDS: [End; 3] = [End::NotHandedOver, End::Rejected, End::Dropped];
+const ENDS: [End; 3] = [End::NotSent, End::Rejected, End::Dropped];
 
 fn attempt(dispatches: &Dispatches, end: End) {
     match end {
-        End::NotHandedOver => {}
+        End::NotSent => {}
         End::Rejected => dispatches.begin().rejected(),
         End::Dropped => drop(dispatches.begin()),
     }
