--- a/crates/dyketally-gateway/src/session/caller.rs
+++ b/crates/dyketally-gateway/src/session/caller.rs
@@ -45,11 +45,11 @@
     buffered: BufferedInput,
 }
 
-/// What ends a session's wait for the caller.
+/// What happened while a session waited for its caller.
 pub(super) enum SessionEvent {
     Message(CallerMessage),
     Closed,
-    ProtocolError(String),
+    InputRejected(String),
     TransactionIdle,
     Stop,
 }
@@ -122,12 +122,12 @@
             match self.sessions.protocol.decode(&mut self.input) {
                 Ok(Some(message)) => return SessionEvent::Message(message),
                 Ok(None) => {}
-                Err(error) => return SessionEvent::ProtocolError(error.to_string()),
+                Err(error) => return SessionEvent::InputRejected(error.to_string()),
             }
             self.buffered.set(self.input.len());
             if !self.buffered.fits() {
-                return SessionEvent::ProtocolError(
-                    "this node's memory for incomplete messages is used up".to_owned(),
+                return SessionEvent::InputRejected(
+                    "this node's memory for incomplete messages is used up; connect to another node".to_owned(),
                 );
             }
             self.input.reserve(READ_CHUNK);
--- a/crates/dyketally-gateway/src/session/serving.rs
+++ b/crates/dyketally-gateway/src/session/serving.rs
@@ -62,7 +62,7 @@
                     }
                 }
                 SessionEvent::TransactionIdle => self.roll_back_idle_transaction(),
-                SessionEvent::ProtocolError(reason) => {
+                SessionEvent::InputRejected(reason) => {
                     let response = Response::failed(FailureKind::Malformed, &reason);
                     caller.refuse(response).await;
                     return;
