--- a/crates/dyketally-gateway/src/quota/mod.rs
+++ b/crates/dyketally-gateway/src/quota/mod.rs
@@ -1,10 +1,11 @@
-//! Permits for operations of tenants that have a quota. A permit is asked for at the tenant's
-//! accountant, before the operation's first statement is sent; see [`dyketally::quota`].
+//! Permits for operations of tenants that have a quota. Before an operation's first statement is sent, a
+//! permit is requested from the tenant's accountant; see [`dyketally::quota`].
 //!
 //! [`Quotas`] owns what this node has granted as an accountant, the operations that it may still permit,
-//! and what it learnt from questions. It relies on the fleet for the nodes and the way to them.
+//! and which nodes answered its requests. Depends on `fleet` for the nodes and for sending requests to
+//! them.
 
-mod question;
+mod permit_requests;
 mod reachability;
 
 use std::cell::RefCell;
@@ -18,28 +19,28 @@
 use dyketally::tenant::{Quota, Tenant};
 use tokio::time::Instant;
 
-use self::question::Questions;
+use self::permit_requests::PermitRequests;
 use self::reachability::Reachability;
 use crate::context::Context;
 use crate::fleet::Fleet;
 use crate::measures::Stage;
 
-/// Nodes that share a quota at least, as far as a node goes that has nobody to ask: after a start it
-/// may not know yet how many there are.
-const NODES_ASSUMED: u32 = 32;
+/// Minimum number of nodes that a node without a reachable accountant divides a quota by: after a start it
+/// may not know yet how many nodes there are.
+const MIN_NODES_ASSUMED: u32 = 32;
 
-/// Quotas as this node keeps them.
+/// Quotas of tenants as this node enforces them.
 pub struct Quotas {
     cx: Rc<Context>,
     fleet: Rc<Fleet>,
     accountant: RefCell<Accountant>,
     allowances: RefCell<HashMap<TenantName, Allowance>>,
-    questions: Questions,
+    permit_requests: PermitRequests,
     reachability: Reachability,
 }
 
 impl Quotas {
-    /// Nothing is known yet.
+    /// Quotas of a node that has just started.
     pub fn new(cx: Rc<Context>, fleet: Rc<Fleet>) -> Rc<Self> {
         let tolerated = cx.settings.bounds.quota_slack;
         Rc::new(Self {
@@ -47,7 +48,7 @@
             fleet,
             accountant: RefCell::new(Accountant::new(tolerated)),
             allowances: RefCell::default(),
-            questions: Questions::default(),
+            permit_requests: PermitRequests::default(),
             reachability: Reachability::default(),
         })
     }
@@ -61,13 +62,14 @@
     }
 }
 
-/// Leave to run one operation. Dropping it uses it up; [`Permit::give_back`] keeps it for another.
+/// Permission to run one operation. Dropping it uses it up; [`Permit::give_back`] returns it for another
+/// operation.
 pub struct Permit {
     limited: Option<(Rc<Quotas>, TenantName)>,
 }
 
 impl Permit {
-    /// Gives it back, since the operation hasn't run.
+    /// Returns the permit of an operation that has not run.
     pub fn give_back(self) {
         if let Some((quotas, tenant)) = self.limited {
             let now = quotas.cx.now();
@@ -76,15 +78,15 @@
     }
 }
 
-/// The tenant has used up its quota.
+/// Error: the tenant has used up its quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaExceeded {
-    /// When its caller may try again.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
 impl Quotas {
-    /// Leave to run one operation of `tenant`; nothing is waited for beyond `until`.
+    /// Obtains permission to run one operation of `tenant`, and waits for it no longer than `until`.
     ///
     /// # Errors
     /// The tenant has used up its quota.
@@ -121,8 +123,8 @@
         until: Instant,
     ) -> Result<(), QuotaExceeded> {
         let wanted = self.allowance(tenant, |allowance| allowance.wanted());
-        let Some(decision) = self.ask_accountants(tenant, wanted, until).await else {
-            return self.permit_alone(tenant, quota);
+        let Some(decision) = self.request_permits(tenant, wanted, until).await else {
+            return self.permit_without_accountant(tenant, quota);
         };
         match decision {
             Decision::Granted {
@@ -141,19 +143,23 @@
         }
     }
 
-    /// Decides without an accountant.
-    fn permit_alone(&self, tenant: &TenantName, quota: Quota) -> Result<(), QuotaExceeded> {
+    /// Decides without an accountant, by this node's part of the quota.
+    fn permit_without_accountant(
+        &self,
+        tenant: &TenantName,
+        quota: Quota,
+    ) -> Result<(), QuotaExceeded> {
         self.cx.counters.permits_alone.add();
         let nodes = u32::try_from(self.fleet.membership.node_count()).unwrap_or(u32::MAX);
-        let nodes = nodes.max(NODES_ASSUMED);
+        let nodes = nodes.max(MIN_NODES_ASSUMED);
         let now = self.cx.now();
         let alone = |allowance: &mut Allowance| allowance.take_alone(now, quota, nodes);
         let taken = self.allowance(tenant, alone);
         taken.map_err(|retry_after| QuotaExceeded { retry_after })
     }
 
-    /// Decides in `role` on a question for `wanted` operations of `tenant`; `None` when the
-    /// configuration in force gives it no quota.
+    /// Decides in `role` on a request for `wanted` operations of `tenant`; `None` when the current
+    /// configuration gives the tenant no quota.
     pub fn account(
         self: &Rc<Self>,
         tenant: &TenantName,
@@ -167,7 +173,7 @@
         let mut accountant = self.accountant.borrow_mut();
         let decision = accountant.decide(now, tenant, quota, wanted, role, reach);
         if accountant.needs_reach(now, tenant, quota, role) {
-            self.find_reachability();
+            self.measure_reachability();
         }
         Some(decision)
     }
--- a/crates/dyketally-gateway/src/session/admission.rs
+++ b/crates/dyketally-gateway/src/session/admission.rs
@@ -1,4 +1,4 @@
-//! What an operation may use, and on whose behalf.
+//! Which route an operation uses, and for which tenant it runs.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -8,30 +8,30 @@
 use dyketally::tenant::{ApiKey, Tenant};
 
 use crate::context::Context;
-use crate::statement::request::Served;
+use crate::statement::request::Response;
 
-/// What an operation may use, by the configuration in force as it began.
+/// Route and tenant of an operation, by the configuration that was current as it began.
 #[derive(Clone)]
 pub(super) struct Admission {
     /// The route.
     pub(super) route: Rc<RoutePolicy>,
-    /// Whose operation it is, where callers need a key.
+    /// The caller's tenant, on routes that need an API key.
     pub(super) tenant: Option<Arc<Tenant>>,
 }
 
 impl Admission {
-    /// What a caller with `key` may use that asks for `database`; or the refusal.
-    pub(super) fn of(cx: &Context, database: &str, key: &ApiKey) -> Result<Self, Served> {
+    /// Admits a caller with `key` to `database`, or returns the error for the caller.
+    pub(super) fn of(cx: &Context, database: &str, key: &ApiKey) -> Result<Self, Response> {
         let routes = cx.routes();
         let Some(route) = routes.routes.get(database) else {
-            return Err(Served::failed(
+            return Err(Response::failed(
                 FailureKind::UnknownDatabase,
-                "no route leads to this database; check its name",
+                "no route is configured for this database; check its name",
             ));
         };
         if routes.needs_key(route) && !cx.keys_hold() {
             cx.counters.keys_uncertain.add();
-            return Err(Served::key_uncertain());
+            return Err(Response::key_uncertain());
         }
         match routes.identify(route, key) {
             Ok(tenant) => Ok(Self {
@@ -40,7 +40,7 @@
             }),
             Err(unknown) => {
                 cx.counters.unknown_keys.add();
-                Err(Served::failed(
+                Err(Response::failed(
                     FailureKind::Unauthenticated,
                     &unknown.to_string(),
                 ))
@@ -48,9 +48,9 @@
         }
     }
 
-    /// True while a transaction that was admitted may go on. It goes on by the configuration that held
-    /// as it began, but not while the node can't know whether its key still stands.
-    pub(super) fn holds(&self, cx: &Context) -> bool {
+    /// True while an admitted transaction may go on. It keeps the configuration that was current as it began,
+    /// but stops while this node can't know whether its API key is still valid.
+    pub(super) fn is_valid(&self, cx: &Context) -> bool {
         self.tenant.is_none() || cx.keys_hold()
     }
 }
--- a/crates/dyketally-gateway/src/session/mod.rs
+++ b/crates/dyketally-gateway/src/session/mod.rs
@@ -1,17 +1,17 @@
-//! Callers' sessions: their connections, values, prepared statements and transactions, and the room that
-//! this node has for them.
+//! Sessions of callers: their connections, values, prepared statements and transactions, and how many of
+//! them this node can hold.
 //!
-//! A message comes in through `caller`, `serving` answers it or passes a statement to `operation`, which has
-//! `admission` find its route and tenant, obtains a permit and serves it by the part `statement`. `room`
-//! counts sessions and the input that they keep.
+//! `caller` reads a message. `serving` answers it or passes a statement to `operation`, which gets its
+//! route and tenant from `admission`, obtains a permit and runs it with `statement`. `load` counts the
+//! sessions and their buffered input.
 //!
-//! [`Sessions`] owns the room; each session owns what it keeps between statements. Relies on `statement` to
-//! serve, and on `quota` for permits.
+//! [`Sessions`] owns the load; each session owns its state between statements. Depends on `statement` to
+//! run statements, and on `quota` for permits.
 
 mod admission;
 mod caller;
+mod load;
 mod operation;
-mod room;
 mod serving;
 
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 use dyketally::capacity::SessionVerdict;
 use tokio::net::{TcpListener, TcpStream};
 
-use self::caller::{Caller, Introduction};
-use self::room::{OpenSession, Room};
+use self::caller::{Caller, ConnectRequest};
+use self::load::{OpenSession, SessionLoad};
 use self::serving::Session;
 use crate::context::{Context, accept};
 use crate::database::connection::prepare_socket;
@@ -29,8 +29,8 @@
 use crate::quota::Quotas;
 use crate::statement::Statements;
 
-/// Pause before a caller is accepted after a failure: shorter than for other listeners, since callers wait;
-/// not measured.
+/// Pause before the next caller is accepted after a failure: shorter than for other listeners, since
+/// callers are waiting.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// The sessions of this node.
@@ -39,56 +39,56 @@
     protocol: SharedCallerProtocol,
     statements: Rc<Statements>,
     quotas: Rc<Quotas>,
-    room: Rc<Room>,
+    load: Rc<SessionLoad>,
 }
 
 impl Sessions {
-    /// None yet.
+    /// A node without sessions.
     pub fn new(
         cx: Rc<Context>,
         protocol: SharedCallerProtocol,
         statements: Rc<Statements>,
         quotas: Rc<Quotas>,
     ) -> Rc<Self> {
-        let room = Room::new(cx.clone());
+        let load = SessionLoad::new(cx.clone());
         Rc::new(Self {
             cx,
             protocol,
             statements,
             quotas,
-            room,
+            load,
         })
     }
 
-    /// How many are open, those that are being refused included.
+    /// Number of open sessions, including those that are being refused.
     pub fn open(&self) -> usize {
-        self.room.open()
+        self.load.open()
     }
 
-    /// True while no further ones should come.
+    /// True while this node should get no new sessions.
     pub fn is_full(&self) -> bool {
-        self.room.is_full()
+        self.load.is_full()
     }
 
     /// Serves callers until the task is aborted.
     pub async fn serve_callers(self: Rc<Self>, listener: TcpListener) {
         loop {
             let stream = accept(&listener, ACCEPT_PAUSE).await;
-            admit(&self, stream);
+            handle_connection(&self, stream);
         }
     }
 }
 
-/// Serves a connection that a caller opened, or refuses it where there is no room.
-fn admit(sessions: &Rc<Sessions>, stream: TcpStream) {
-    let verdict = sessions.room.judge();
+/// Serves a new connection of a caller; refuses or closes it when this node is full.
+fn handle_connection(sessions: &Rc<Sessions>, stream: TcpStream) {
+    let verdict = sessions.load.evaluate_next();
     if verdict != SessionVerdict::Serve {
         sessions.cx.counters.sessions_refused.add();
     }
     if verdict == SessionVerdict::Close {
         return;
     }
-    let open = OpenSession::begin(&sessions.room);
+    let open = OpenSession::begin(&sessions.load);
     let sessions = sessions.clone();
     tokio::task::spawn_local(async move {
         match verdict {
@@ -98,21 +98,21 @@
     });
 }
 
-/// Serves one caller until it leaves or the process stops.
+/// Serves one caller until it disconnects or the process stops.
 async fn serve(sessions: Rc<Sessions>, stream: TcpStream, _open: OpenSession) {
     prepare_socket(&stream);
     sessions.cx.counters.sessions.add();
     let mut caller = Caller::new(sessions.clone(), stream);
-    let Some(Introduction { database, key }) = caller.introduce().await else {
+    let Some(ConnectRequest { database, key }) = caller.handshake().await else {
         return;
     };
     let mut session = Session::new(&sessions, database, key);
     session.run(&mut caller).await;
 }
 
-/// Tells a caller that this node has no room for it.
+/// Refuses a session because this node is full.
 async fn refuse(sessions: Rc<Sessions>, stream: TcpStream, _open: OpenSession) {
     prepare_socket(&stream);
     let mut caller = Caller::new(sessions, stream);
-    caller.refuse_introduction().await;
+    caller.refuse_handshake().await;
 }
