--- a/crates/dyketally-gateway/src/node/exposition.rs
+++ b/crates/dyketally-gateway/src/node/exposition.rs
@@ -40,21 +40,11 @@
             match value {
                 Value::Number(count) => {
                     let name = format!("dyketally_{name}_total");
-                    gauge(
-                        registry,
-                        &name,
-                        "Counter of the log, under the same name there.",
-                        count.as_f64(),
-                    );
+                    gauge(registry, &name, "See the log's counters.", count.as_f64());
                 }
                 Value::Object(kinds) => {
                     let name = format!("dyketally_{name}_total");
-                    let vec = gauges(
-                        registry,
-                        &name,
-                        "Counter of the log, under the same name there.",
-                        &["kind"],
-                    );
+                    let vec = gauges(registry, &name, "See the log's counters.", &["kind"]);
                     for (kind, count) in kinds {
                         let count = count.as_i64().unwrap_or_default();
                         vec.with_label_values(&[&kind]).set(count);
@@ -77,19 +67,19 @@
         );
         set(
             "dyketally_nodes",
-            "Running nodes that this node knows of, itself included.",
+            "Nodes that run.",
             self.gateway.fleet.membership.node_count(),
         );
         let has_duty = usize::from(self.gateway.fleet.coordinator.last_term().is_some());
         set(
             "dyketally_duty",
-            "1 while this node is the failover coordinator, which replaces primaries.",
+            "1 while this node replaces primaries.",
             has_duty,
         );
         let in_touch = usize::from(self.gateway.cx.is_in_touch());
         set(
             "dyketally_in_touch",
-            "1 while this node's contact ensures that it would learn of a replaced primary.",
+            "1 while this node hears of successions.",
             in_touch,
         );
         let routes = self.gateway.cx.routes();
@@ -97,14 +87,14 @@
         gauge(
             registry,
             "dyketally_configuration_revision",
-            "Revision of the current configuration.",
+            "Revision of the configuration in force.",
             Some(revision),
         );
         if let Some(age) = self.gateway.cx.configuration_age() {
             gauge(
                 registry,
                 "dyketally_configuration_age_seconds",
-                "Time since the configuration was last confirmed to be the newest one, in seconds.",
+                "Time since the configuration was confirmed to be the newest one.",
                 Some(age.as_secs_f64()),
             );
         }
@@ -112,11 +102,11 @@
         gauge(
             registry,
             "dyketally_watch_lost_seconds",
-            "Time for which a watch of the store by this node has been lost, in seconds; 0 while none is.",
+            "Time for which this node's own watch of the store has been lost; 0 while it stands.",
             lost_for.map(|lost_for| lost_for.as_secs_f64()),
         );
         let name = "dyketally_sent_bytes_to_node_total";
-        let sent = gauges(registry, name, "Bytes sent to each other node.", &["node"]);
+        let sent = gauges(registry, name, "Bytes sent to another node.", &["node"]);
         for (node, bytes) in self.gateway.fleet.traffic.by_node() {
             let bytes = i64::try_from(bytes).unwrap_or(i64::MAX);
             sent.with_label_values(&[node.as_str()]).set(bytes);
@@ -130,7 +120,7 @@
         gauge(
             registry,
             "dyketally_replica_lag_seconds",
-            "Expected time from a commit until replicas have it, in seconds.",
+            "Time that commits are expected to take to replicas.",
             Some(lag.as_secs_f64()),
         );
         self.collect_places(registry);
@@ -143,7 +133,7 @@
         let loads = gauges(
             registry,
             "dyketally_slow_start",
-            "A database in slow start: whether it may be cold, this node's rate to it, and requests sent and refused.",
+            "Whether a database may be cold, what this node may send to it then, and what became of it.",
             &["database", "what"],
         );
         for (name, pacer) in self.gateway.databases.pacers() {
@@ -168,7 +158,7 @@
         let evacuated = gauges(
             registry,
             "dyketally_evacuated",
-            "1 for each evacuated zone, whose databases get no further statements.",
+            "1 for each zone whose databases get nothing more.",
             &["zone"],
         );
         for zone in self.gateway.databases.evacuated_zones() {
@@ -177,7 +167,7 @@
         let serving = gauges(
             registry,
             "dyketally_serving_region",
-            "1 for each region that may serve the route; only for routes restricted to some regions.",
+            "1 for each region that may serve a route which not all regions serve.",
             &["route", "region"],
         );
         let routes = self.gateway.cx.routes();
@@ -192,7 +182,7 @@
         gauge(
             registry,
             "dyketally_bound_tenants",
-            "Number of tenants restricted to some regions.",
+            "Tenants that not all regions serve.",
             Some(bound.count() as f64),
         );
     }
@@ -202,13 +192,13 @@
         let pools = gauges(
             registry,
             "dyketally_pool",
-            "Connections of this node to a database, their limit, and statements that wait for one.",
+            "Connections of this node to a database, their limit, and who waits.",
             &["database", "what"],
         );
         let leads = gauges(
             registry,
             "dyketally_leads",
-            "1 for the database that this node treats as its group's primary.",
+            "1 for the database that is taken for its group's primary.",
             &["group", "database"],
         );
         let directory = self.gateway.databases.directory.borrow();
