--- a/crates/dyketally/src/freshness/mod.rs
+++ b/crates/dyketally/src/freshness/mod.rs
@@ -1,10 +1,10 @@
 //! Freshness of replica reads from observations of the primary's log.
 //!
-//! An observation says: a database that led its group at the time showed this position in reply to
-//! a statement sent at `sent`. Its log then held every commit acknowledged before `sent`, whoever
-//! made it. A read that must see the commits acknowledged before a time `t` is therefore fresh on
-//! any log that holds the position of an observation with `sent >= t`; the oldest such one asks
-//! least of a replica.
+//! An observation is the log position that the primary of a group reported in its reply to a statement
+//! sent at `sent`. The primary's log then held every commit acknowledged before `sent`, whichever node
+//! or session made it. A read that must see the commits acknowledged before a time `t` is therefore
+//! fresh at any replica whose log holds the position of an observation with `sent >= t`. The oldest such
+//! observation requires the lowest position.
 
 mod lag;
 
@@ -16,15 +16,15 @@
 
 pub use lag::LagEstimate;
 
-/// Shortest distance between two observations that are both kept.
-const SPACING: Duration = Duration::from_millis(20);
+/// Least time between two kept observations of the same position; a closer one replaces the earlier.
+const MIN_SPACING: Duration = Duration::from_millis(20);
 
-/// One position of the primary's log and the time before which commits are covered by it.
+/// A position of the primary's log, and the time up to which it covers all acknowledged commits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// The end of the primary's log.
     pub position: LogPosition,
-    /// When the statement was sent whose reply showed the position.
+    /// When the statement was sent whose reply reported the position.
     pub sent: Timestamp,
 }
 
@@ -32,24 +32,25 @@
 #[derive(Clone, Debug)]
 pub struct Observations {
     kept: VecDeque<Observation>,
-    keep_for: Duration,
+    retention: Duration,
 }
 
 impl Observations {
-    /// Keeps observations for `keep_for`, which is the longest bound of any route.
-    pub fn new(keep_for: Duration) -> Self {
+    /// Keeps observations for `retention`, which is the longest staleness bound of any route.
+    pub fn new(retention: Duration) -> Self {
         Self {
             kept: VecDeque::new(),
-            keep_for,
+            retention,
         }
     }
 
-    /// Changes for how long observations are kept.
-    pub fn keep_for(&mut self, keep_for: Duration) {
-        self.keep_for = keep_for;
+    /// Sets for how long observations are kept.
+    pub fn keep_for(&mut self, retention: Duration) {
+        self.retention = retention;
     }
 
-    /// Adds an observation. One that proves no more than a kept one is dropped.
+    /// Adds an observation. It is dropped if its statement was sent before that of the newest one, and
+    /// replaces the newest one if both have the same position and are close in time.
     pub fn record(&mut self, now: Timestamp, observation: Observation) {
         self.forget_old(now);
         let Some(newest) = self.kept.back().copied() else {
@@ -59,8 +60,8 @@
         if observation.sent < newest.sent {
             return;
         }
-        let unspaced = observation.sent.saturating_since(newest.sent) < SPACING;
-        if unspaced && observation.position == newest.position {
+        let is_close = observation.sent.saturating_since(newest.sent) < MIN_SPACING;
+        if is_close && observation.position == newest.position {
             self.kept.pop_back();
         }
         self.kept.push_back(observation);
@@ -72,14 +73,14 @@
         self.kept.get(first).copied()
     }
 
-    /// For how long the primary has been known to hold `position`; zero when that isn't known.
+    /// For how long the primary has been known to hold `position`; zero when no observation shows it.
     pub fn age_of(&self, position: LogPosition, now: Timestamp) -> Duration {
         let first = self.kept.iter().find(|kept| kept.position >= position);
         first.map_or(Duration::ZERO, |first| now.saturating_since(first.sent))
     }
 
     fn forget_old(&mut self, now: Timestamp) {
-        let oldest = now - self.keep_for;
+        let oldest = now - self.retention;
         while self.kept.front().is_some_and(|kept| kept.sent < oldest) {
             self.kept.pop_front();
         }
@@ -93,31 +94,32 @@
     Primary,
     /// Every commit acknowledged more than the bound before the read.
     BoundedStaleness {
-        /// The bound.
+        /// The longest staleness allowed.
         bound: Duration,
     },
-    /// As bounded staleness, and every commit of the same session.
+    /// The commits of bounded staleness, and every commit of the same session.
     ReadOwnWrites {
-        /// The bound for the commits of others.
+        /// The longest staleness allowed for commits of other sessions.
         bound: Duration,
     },
 }
 
-/// What a read needs, given its session.
+/// What the log of a replica must hold so that it may serve a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessNeed {
-    /// Commits acknowledged before this must be seen.
+    /// The log must hold every commit acknowledged before this time.
     pub covered: Timestamp,
-    /// The log must also hold this position, the session's own last commit here.
+    /// The log must also hold this position: the last commit of the read's own session in this group.
     pub own_commit: Option<LogPosition>,
 }
 
-/// What is subtracted from a route's bound: callers' clocks start before their statement arrives.
+/// Subtracted from a route's staleness bound, because callers measure staleness from when they send a
+/// statement, which is before it arrives here.
 const BOUND_MARGIN: Duration = Duration::from_millis(100);
 
 impl ReadConsistency {
-    /// The need of a read that arrived at `arrived` on a session connected since `connected`;
-    /// `None` when only the primary will do.
+    /// What a read requires that arrived at `arrived` on a session open since `connected`; `None` when
+    /// only the primary may serve it.
     pub fn need(
         self,
         arrived: Timestamp,
@@ -142,7 +144,7 @@
 }
 
 impl FreshnessNeed {
-    /// The position a replica's log must hold, if an observation tells it.
+    /// The position that a replica's log must hold; `None` when no observation covers the required time.
     pub fn position(&self, observations: &Observations) -> Option<LogPosition> {
         let covering = observations.covering(self.covered)?.position;
         Some(self.own_commit.map_or(covering, |own| own.max(covering)))
