--- a/crates/dyketally/src/placement/link_class.rs
+++ b/crates/dyketally/src/placement/link_class.rs
@@ -1,12 +1,13 @@
-//! How much the link of a node carries, coarsely.
+//! Capacity of a node's network link, in coarse classes.
 
 use serde::{Deserialize, Serialize};
 
-/// The factor between two classes: nodes whose links differ by less are chosen alike, so that work is
+/// Ratio of capacity between two adjacent classes. Nodes of one class rank equally, so that load is
 /// spread over them.
 const STEP: f64 = 4.0;
 
-/// A class of links; greater ones carry more. The least is that of a node that states none.
+/// A class of link capacity; greater classes carry more. A node that states no capacity has the least
+/// class.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,10 +15,10 @@
 pub struct LinkClass(u8);
 
 impl LinkClass {
-    /// The class of a link that carries `megabits` a second.
+    /// The class of a link with a capacity of `megabits` per second.
     pub fn of_megabits(megabits: f64) -> Self {
         let class = megabits.max(1.0).log(STEP).floor();
-        // A link can't be so large that its class exceeds the type.
+        // Saturates only at 4^256 megabits per second.
         Self(class as u8)
     }
 }
--- a/crates/dyketally/src/placement/mod.rs
+++ b/crates/dyketally/src/placement/mod.rs
@@ -20,13 +20,13 @@
 use score::{Key, Score};
 use tier::Tier;
 
-/// Number of relays that [`relays`] is normally asked for in each zone.
+/// Usual number of relays in each zone: the `count` that callers pass to [`relays`].
 pub const RELAYS_PER_ZONE: usize = 3;
 
-/// The weight of a node that states none. Weights count relative to each other.
+/// The weight of a node that states none. Weights are relative to each other.
 pub const NORMAL_WEIGHT: u16 = 100;
 
-/// A live node that may be chosen.
+/// A live node that placement may select.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<'a> {
     /// The node.
@@ -35,9 +35,9 @@
     pub locality: &'a Locality,
     /// Its share of the databases relative to other nodes of its zone; 0 to take none.
     pub weight: u16,
-    /// The node has announced that it leaves: chosen only when no other node is left.
+    /// The node has announced that it is leaving; it is selected only when no other node is available.
     pub leaving: bool,
-    /// How much its link carries.
+    /// Capacity class of its link.
     pub link: LinkClass,
 }
 
@@ -62,7 +62,8 @@
     best.map(|best| best.node)
 }
 
-/// The first `count` nodes for `database`, best first: the home, then those that would follow it.
+/// The first `count` nodes for `database`, best first: the home, then the nodes that would take over
+/// from it.
 ///
 /// Nodes that stay come before nodes that leave; among these, nodes of the database's zone come
 /// first, then nodes of its region, then all others.
@@ -78,16 +79,17 @@
         let tier = Tier::of(&candidate, locality);
         Ranked::new(candidate, tier, key)
     });
-    first_few(ranked.collect(), count)
+    best_first(ranked.collect(), count)
 }
 
-/// The order in which `node` asks `homes`: its own for each node, so that nodes spread over them.
+/// The order in which `node` tries `homes` for a connection. It differs from node to node, so that the
+/// load is spread over the homes.
 pub fn preference<'a>(node: &NodeName, homes: &[&'a NodeName]) -> Vec<&'a NodeName> {
     by_score(Key::of_node(node), homes)
 }
 
-/// The order in which all nodes ask `homes` for connections of `tenant`: the same for all, so that
-/// few homes keep connections of one tenant, and each of them those of few tenants.
+/// The order in which every node tries `homes` for connections of `tenant`. It is the same at all nodes,
+/// so that few homes keep connections of one tenant, and each home keeps those of few tenants.
 pub fn preference_for<'a>(tenant: &TenantName, homes: &[&'a NodeName]) -> Vec<&'a NodeName> {
     by_score(Key::of_tenant(tenant), homes)
 }
@@ -101,8 +103,8 @@
     ordered
 }
 
-/// The first `count` nodes that account for the quota of `tenant`, best first: the accountant, then
-/// those that would take over from it.
+/// The first `count` nodes for the quota of `tenant`, best first: the accountant, then the nodes that
+/// would take over from it.
 pub fn accountants<'a>(
     tenant: &TenantName,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
@@ -118,9 +120,9 @@
     scored.into_iter().map(|(_, node)| node).collect()
 }
 
-/// The nodes of the zone at `locality` that watch the platform's service for the whole zone. Those whose
-/// links carry most go first: a relay receives each change from the service, and sends it to all nodes
-/// that subscribe to it.
+/// The first `count` nodes of the zone at `locality` that watch the platform's service for the whole
+/// zone. Nodes with the greatest link class come first: a relay receives each change from the service and
+/// sends it to all nodes that subscribe to it.
 pub fn relays<'a>(
     locality: &Locality,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
@@ -141,14 +143,14 @@
             ..ranked
         }
     });
-    first_few(ranked.collect(), count)
+    best_first(ranked.collect(), count)
 }
 
 fn takes_databases(candidate: &Candidate<'_>) -> bool {
     candidate.weight > 0
 }
 
-fn first_few(mut ranked: Vec<Ranked<'_>>, count: usize) -> Vec<&NodeName> {
+fn best_first(mut ranked: Vec<Ranked<'_>>, count: usize) -> Vec<&NodeName> {
     ranked.sort_unstable_by(Ranked::order);
     ranked.iter().take(count).map(|entry| entry.node).collect()
 }
@@ -156,7 +158,7 @@
 struct Ranked<'a> {
     node: &'a NodeName,
     tier: Tier,
-    /// Goes before the score where it matters.
+    /// Compared before the score; the default class in every ranking but that of relays.
     link: LinkClass,
     score: Score,
 }
--- a/crates/dyketally/src/placement/score.rs
+++ b/crates/dyketally/src/placement/score.rs
@@ -6,12 +6,14 @@
 
 use crate::identifiers::{DatabaseName, Locality, NodeName, TenantName};
 
+// Seeds that give a database, a node, a tenant and a zone's relays different keys.
 const RELAY_KEY_SEED: u64 = 1;
 const NODE_KEY_SEED: u64 = 2;
 const TENANT_KEY_SEED: u64 = 3;
+/// Bits of a hash that an `f64` holds exactly.
 const UNIT_BITS: u32 = 53;
 
-/// What nodes are scored for.
+/// Hash of what nodes are scored for: a database, a node, a tenant or the relays of a zone.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Key(u64);
 
@@ -34,14 +36,14 @@
         Self(xxh3_64_with_seed(zone.zone.as_str().as_bytes(), region))
     }
 
-    /// The score of `node`. The chance to score highest is in proportion to `weight`.
+    /// The score of `node`. Its chance of the highest score is proportional to `weight`.
     pub(super) fn score(self, node: &NodeName, weight: u16) -> Score {
         let hash = xxh3_64_with_seed(node.as_str().as_bytes(), self.0);
         Score(-f64::from(weight) / unit_interval(hash).ln())
     }
 }
 
-/// A score; more is better.
+/// A score; greater is better.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Score(f64);
 
--- a/crates/dyketally/src/placement/sharing.rs
+++ b/crates/dyketally/src/placement/sharing.rs
@@ -1,46 +1,47 @@
-//! How the connections that a database grants are shared out: among all nodes while each gets
-//! enough of them to be of use, among a few homes otherwise.
+//! Distribution of the connections that a database grants: over all nodes as long as each gets enough
+//! of them, over a few homes otherwise.
 
-/// Share of a database's connections that homes use; the rest is for probes, for nodes that reach
+/// Share of a database's connections that is distributed; the rest is for probes, for nodes that reach
 /// no home, and for connections that are closing.
-const USED: f64 = 0.9;
-/// Connections below which a node is better off asking a home.
-const FEWEST_EACH: u32 = 4;
-/// Connections that a home has at least: enough that transactions that rest don't use them up.
-const FEWEST_AT_HOME: u32 = 12;
-/// Connections that a node which isn't a home may open when it reaches none.
-const SPARE: u32 = 2;
+const DISTRIBUTED_SHARE: f64 = 0.9;
+/// Fewest connections for each node with which every node keeps its own; with fewer, nodes use those of
+/// a few homes.
+const MIN_PER_NODE: u32 = 4;
+/// Fewest connections of a home: enough that idle transactions do not use them up.
+const MIN_PER_HOME: u32 = 12;
+/// Connections that a node that is not a home may open while it reaches no home.
+const NON_HOME_LIMIT: u32 = 2;
 
-/// Who keeps connections to a database, and how many.
+/// Which nodes keep connections to a database, and how many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sharing {
-    /// Every node, this many each.
+    /// Every node keeps this many connections.
     Everyone(u32),
-    /// A few homes.
+    /// Only a few homes keep connections.
     Homes {
-        /// How many homes there are.
+        /// Number of homes.
         count: usize,
-        /// Connections of each of them.
+        /// Connections of each home.
         each: u32,
     },
 }
 
 impl Sharing {
-    /// Shares out `granted` connections of one database among `nodes` nodes.
+    /// Distributes `granted` connections of one database over `nodes` nodes.
     pub fn of(granted: u32, nodes: usize) -> Self {
-        let used = (f64::from(granted) * USED) as u32;
+        let distributed = (f64::from(granted) * DISTRIBUTED_SHARE) as u32;
         let nodes = u32::try_from(nodes).unwrap_or(u32::MAX).max(1);
-        if used / nodes >= FEWEST_EACH || nodes <= 2 {
-            return Self::Everyone((used / nodes).max(1));
+        if distributed / nodes >= MIN_PER_NODE || nodes <= 2 {
+            return Self::Everyone((distributed / nodes).max(1));
         }
-        let count = (used / FEWEST_AT_HOME).clamp(1, nodes);
+        let count = (distributed / MIN_PER_HOME).clamp(1, nodes);
         Self::Homes {
             count: count as usize,
-            each: (used / count).max(1),
+            each: (distributed / count).max(1),
         }
     }
 
-    /// Nodes that keep connections, of `nodes`.
+    /// How many of `nodes` nodes keep connections.
     pub fn homes(self, nodes: usize) -> usize {
         match self {
             Self::Everyone(_) => nodes,
@@ -53,7 +54,7 @@
         match self {
             Self::Everyone(each) => each,
             Self::Homes { each, .. } if is_home => each,
-            Self::Homes { .. } => SPARE,
+            Self::Homes { .. } => NON_HOME_LIMIT,
         }
     }
 }
--- a/crates/dyketally/src/placement/tier.rs
+++ b/crates/dyketally/src/placement/tier.rs
@@ -1,38 +1,39 @@
-//! Classes of candidates: a better class is chosen whatever the scores.
+//! Tiers of candidates: any candidate of a better tier ranks before all of a worse one, whatever their
+//! scores.
 
 use crate::identifiers::Locality;
 
 use super::Candidate;
 
-/// How well a candidate fits a place; less is better.
+/// How well a candidate suits a locality; less is better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Tier {
     leaving: bool,
     distance: Distance,
 }
 
-/// How far two places are from each other.
+/// How far apart two localities are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// In one zone.
+    /// Both are in the same zone.
     SameZone,
-    /// In two zones of one region.
+    /// They are in different zones of the same region.
     SameRegion,
-    /// In two regions.
+    /// They are in different regions.
     OtherRegion,
 }
 
 impl Tier {
-    pub(super) fn of(candidate: &Candidate<'_>, place: &Locality) -> Self {
+    pub(super) fn of(candidate: &Candidate<'_>, locality: &Locality) -> Self {
         Self {
             leaving: candidate.leaving,
-            distance: Distance::between(candidate.locality, place),
+            distance: Distance::between(candidate.locality, locality),
         }
     }
 }
 
 impl Distance {
-    /// The distance between two places.
+    /// The distance between two localities.
     pub fn between(one: &Locality, other: &Locality) -> Self {
         if one.region != other.region {
             Self::OtherRegion
