--- a/crates/dyketally/src/quota/accountant.rs
+++ b/crates/dyketally/src/quota/accountant.rs
@@ -1,4 +1,4 @@
-//! The node that hands out a tenant's tokens.
+//! Token accounts of tenants, from which an accountant or a stand-in issues tokens to other nodes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,56 +10,58 @@
 use crate::tenant::Quota;
 use crate::time::Timestamp;
 
-/// Longest time for which a token may be promised ahead: an operation that waits for so long still
-/// comes in time, one that waits longer keeps others waiting.
-const PROMISED_AT_MOST: Duration = Duration::from_millis(200);
-/// Longest time after which a caller is told to come back.
-const RETURN_AT_MOST: Duration = Duration::from_secs(2);
-/// An account that nobody asked for this long counts as new: another node may have handed out tokens
+/// Longest time for which a token is promised in advance: an operation that waits this long still
+/// finishes in time, one that waits longer delays others.
+const MAX_PROMISE_WAIT: Duration = Duration::from_millis(200);
+/// Longest retry-after that a refused caller gets.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
+/// Time without requests after which an account counts as new: another node may have issued tokens
 /// meanwhile.
-const NEW_AFTER: Duration = Duration::from_secs(1);
-/// Share of the burst that a new account begins with. What the predecessor handed out isn't known; with
-/// a quarter of the burst, a window in which the accountant changes stays within the tolerance.
-const NEW_SHARE: f64 = 0.25;
-/// One in so many operations that a window may hold beyond rate and burst is added to each burst, so
-/// that chance doesn't get a small tenant refused that keeps its rate: a tenant that may ask for 3 a
-/// second and asks for 1.9 at random moments had 67 of 2,290 operations refused without, and none of
-/// 2,265 with a third of 20 (simulated). The rest is for accountants that take over and for nodes that
-/// are alone.
-const SPARE_PART: u32 = 3;
-
-/// Share of its rate from which on a tenant may exceed it at several nodes that hand out tokens together:
-/// with 0.4 two sides of a split stay within 1.2 times the rate, whichever part of the nodes each has.
+const NEW_ACCOUNT_AFTER: Duration = Duration::from_secs(1);
+/// Share of the burst that a new account starts with. What the predecessor issued is not known; with a
+/// quarter of the burst, a window in which the accountant changes stays within the tolerance.
+const INITIAL_BURST_SHARE: f64 = 0.25;
+/// Divides the tolerated excess of a window (its operations beyond rate and burst); the quotient is added
+/// to each burst, so that a small tenant that keeps its rate is not refused by chance. A tenant with a
+/// rate of 3 operations per second that sent 1.9 per second at random times had 67 of 2,290 operations
+/// refused without the addition, and none of 2,265 with a third of a tolerance of 20. The rest of the
+/// tolerance is for accountants that take over and for nodes without an accountant.
+const SPARE_DIVISOR: u32 = 3;
+
+/// Share of its rate from which a tenant could exceed the rate if several nodes issued tokens for it. With
+/// 0.4, two sides of a network partition together stay within 1.2 times the rate, however the nodes are
+/// divided between them.
 const BUSY_SHARE: f64 = 0.4;
-/// Span over which questions are counted.
-const COUNTED: Duration = Duration::from_secs(1);
-/// Below this a share isn't counted any more when times are worked out.
-const LEAST_SHARE: f64 = 0.001;
+/// Length of a window in which token requests are counted.
+const DEMAND_WINDOW: Duration = Duration::from_secs(1);
+/// Least share of the rate with which waits are calculated; a lesser share counts as this one.
+const MIN_SHARE: f64 = 0.001;
 
-/// On whose behalf a node hands out tokens.
+/// The role in which a node issues tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// It is the tenant's accountant, as far as the asking node knows.
+    /// The node is the tenant's accountant, as far as the requester knows.
     Accountant,
-    /// The asking node doesn't reach the accountant.
+    /// The node replaces an accountant that the requester does not reach.
     StandIn,
 }
 
-/// What an accountant says to a question for tokens.
+/// Reply to a request for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
-    /// So many operations may run.
+    /// `operations` operations may run.
     Granted {
-        /// How many, at least one.
+        /// Number of operations, at least one.
         operations: u32,
-        /// The first may run after this time, the others at once.
+        /// Time after which the first operation may run; the others may run at once.
         after: Duration,
-        /// True while the tenant uses more than its rate.
+        /// True while less than half of the burst is available: the tenant uses more than its rate.
         strained: bool,
     },
-    /// None may run.
+    /// No operation may run.
     Refused {
-        /// When a caller may try again, so that those who were refused come back one after the other.
+        /// Time after which the caller may retry. Refused callers get different times, so that they retry
+        /// one after the other.
         retry_after: Duration,
     },
 }
@@ -67,71 +69,71 @@
 #[derive(Clone, Debug)]
 struct Account {
     bucket: Bucket,
-    asked: Timestamp,
+    last_request: Timestamp,
     demand: Demand,
-    /// When the caller that was refused last was told to come back.
-    last_return: Timestamp,
+    /// Earliest time at which the next refused caller may retry, one interval after the one before it.
+    next_retry: Timestamp,
 }
 
-/// Questions of the last second.
+/// Token requests counted in the current and the previous window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
-    since: Timestamp,
-    counted: u32,
-    before: u32,
+    window_start: Timestamp,
+    current: u32,
+    previous: u32,
 }
 
 impl Demand {
     fn count(&mut self, now: Timestamp) {
-        let passed = now.saturating_since(self.since);
-        if passed >= COUNTED {
-            self.before = if passed < COUNTED * 2 {
-                self.counted
+        let elapsed = now.saturating_since(self.window_start);
+        if elapsed >= DEMAND_WINDOW {
+            self.previous = if elapsed < DEMAND_WINDOW * 2 {
+                self.current
             } else {
                 0
             };
-            self.counted = 0;
-            self.since = now;
+            self.current = 0;
+            self.window_start = now;
         }
-        self.counted += 1;
+        self.current += 1;
     }
 
     fn last_second(&self, now: Timestamp) -> u32 {
-        match now.saturating_since(self.since) < COUNTED * 2 {
-            true => self.counted.max(self.before),
+        match now.saturating_since(self.window_start) < DEMAND_WINDOW * 2 {
+            true => self.current.max(self.previous),
             false => 0,
         }
     }
 }
 
-/// The accounts that this node keeps.
+/// The token accounts that this node keeps, one for each tenant.
 #[derive(Clone, Debug)]
 pub struct Accountant {
     accounts: HashMap<TenantName, Account>,
-    tolerated: u32,
-    new_share: f64,
+    tolerated_excess: u32,
+    initial_share: f64,
 }
 
 impl Accountant {
-    /// An accountant without accounts, where a window may hold `tolerated` operations more than a
-    /// tenant's rate and burst give.
-    pub fn new(tolerated: u32) -> Self {
+    /// Creates an accountant without accounts. A window may hold `tolerated_excess` operations more than a
+    /// tenant's rate and burst allow.
+    pub fn new(tolerated_excess: u32) -> Self {
         Self {
             accounts: HashMap::new(),
-            tolerated,
-            new_share: NEW_SHARE,
+            tolerated_excess,
+            initial_share: INITIAL_BURST_SHARE,
         }
     }
 
-    /// Makes new accounts begin with this share of a tenant's burst.
-    pub fn with_new_share(mut self, new_share: f64) -> Self {
-        self.new_share = new_share;
+    /// Sets the share of a tenant's burst that new accounts start with.
+    pub fn with_new_share(mut self, initial_share: f64) -> Self {
+        self.initial_share = initial_share;
         self
     }
 
-    /// Decides on a question for `wanted` operations of `tenant`, at least one. `reach` is the share of
-    /// the nodes that this one reaches: where it isn't sure to be the only one who hands out tokens, it
-    /// hands out that share of the rate, and the others theirs.
+    /// Decides on a request for tokens for `wanted` operations of `tenant`; zero counts as one. `reach` is
+    /// the share of all nodes that this node reaches. Where other nodes may issue tokens for the tenant
+    /// too, this node issues only that share of the rate.
     pub fn decide(
         &mut self,
         now: Timestamp,
@@ -141,25 +143,25 @@
         role: Role,
         reach: f64,
     ) -> Decision {
-        let spare = self.tolerated / SPARE_PART;
+        let spare = self.tolerated_excess / SPARE_DIVISOR;
         let quota = Quota {
             burst: quota.burst + spare,
             ..quota
         };
-        let share = f64::from(quota.burst) * self.new_share;
-        let beginning = quota.burst.min(spare).max(share as u32);
-        let beginning = match role {
-            Role::Accountant => beginning.max(1),
-            Role::StandIn => (beginning / 2).max(1),
+        let share = f64::from(quota.burst) * self.initial_share;
+        let initial_tokens = quota.burst.min(spare).max(share as u32);
+        let initial_tokens = match role {
+            Role::Accountant => initial_tokens.max(1),
+            Role::StandIn => (initial_tokens / 2).max(1),
         };
         let account = self
             .accounts
             .entry(tenant.clone())
             .or_insert_with(|| Account {
-                bucket: Bucket::with(beginning, now),
-                asked: now,
+                bucket: Bucket::with(initial_tokens, now),
+                last_request: now,
                 demand: Demand::default(),
-                last_return: now,
+                next_retry: now,
             });
         account.demand.count(now);
         let share = match account.needs_reach(now, quota, role) {
@@ -167,16 +169,16 @@
             false => 1.0,
         };
         account.bucket.refill(now, quota, share);
-        let is_new = now.saturating_since(account.asked) >= NEW_AFTER;
+        let is_new = now.saturating_since(account.last_request) >= NEW_ACCOUNT_AFTER;
         if is_new || role == Role::StandIn {
-            account.bucket.cap(beginning);
+            account.bucket.cap(initial_tokens);
         }
-        account.asked = now;
+        account.last_request = now;
         account.decide(now, quota, wanted, share)
     }
 
-    /// True when the reach matters to what this node hands out for `tenant`, so that it should be found
-    /// out.
+    /// True when the result of [`Accountant::decide`] for `tenant` depends on `reach`, so that the caller
+    /// has to determine it.
     pub fn needs_reach(
         &self,
         now: Timestamp,
@@ -191,7 +193,7 @@
 
 impl Account {
     fn needs_reach(&self, now: Timestamp, quota: Quota, role: Role) -> bool {
-        let rate = quota.rate.millionths_in(COUNTED) as f64 / 1e6;
+        let rate = quota.rate.millionths_in(DEMAND_WINDOW) as f64 / 1e6;
         let is_busy = f64::from(self.demand.last_second(now)) >= rate * BUSY_SHARE;
         role == Role::StandIn || is_busy || self.bucket.is_low(quota)
     }
@@ -206,9 +208,9 @@
                 strained,
             };
         }
-        let slower = share.max(LEAST_SHARE).recip();
-        let wait = self.bucket.wait_for_one(quota).mul_f64(slower);
-        if wait <= PROMISED_AT_MOST {
+        let slowdown = share.max(MIN_SHARE).recip();
+        let wait = self.bucket.wait_for_one(quota).mul_f64(slowdown);
+        if wait <= MAX_PROMISE_WAIT {
             self.bucket.promise();
             return Decision::Granted {
                 operations: 1,
@@ -216,9 +218,9 @@
                 strained,
             };
         }
-        let free = self.last_return.max(now + wait);
-        let earliest = free.min(now + RETURN_AT_MOST);
-        self.last_return = earliest + quota.rate.interval().mul_f64(slower);
+        let free = self.next_retry.max(now + wait);
+        let earliest = free.min(now + MAX_RETRY_AFTER);
+        self.next_retry = earliest + quota.rate.interval().mul_f64(slowdown);
         Decision::Refused {
             retry_after: earliest.saturating_since(now),
         }
--- a/crates/dyketally/src/quota/mod.rs
+++ b/crates/dyketally/src/quota/mod.rs
@@ -1,12 +1,15 @@
-//! Quotas over the whole fleet: an operation of a tenant needs a token, and one node, the tenant's
-//! accountant, hands tokens out from a token bucket.
+//! Tenant quotas over all nodes: each operation of a tenant needs a token, and one node, the tenant's
+//! accountant, issues tokens from a token bucket.
 //!
-//! A node that asks for each operation at the moment at which it is asked for it keeps the fleet
-//! within `rate * window + burst`, however callers are spread over nodes. A node that doesn't reach the
-//! accountant asks stand-ins; one whose questions all stay unanswered falls back to its part of the rate ([`Allowance::take_alone`]). An
-//! accountant whose tenant uses much of its rate, and a stand-in in any case, hands out the share of
-//! the rate that the nodes make up which it reaches: the others may be served by somebody else. A node
-//! that takes over begins with a part of the burst, since it doesn't know what its predecessor handed out.
+//! While nodes request the token of an operation when the operation arrives, all nodes together stay
+//! within `rate * window + burst` operations, however callers are spread over them. A node that does not
+//! reach the accountant requests tokens from stand-ins; if none of them answers, it falls back to its own
+//! part of the rate ([`Allowance::take_alone`]).
+//!
+//! An accountant whose tenant uses much of its rate limits the rate to the share of the nodes that it
+//! reaches, because another node may issue tokens to the rest. A stand-in always does so. A node that
+//! takes over as accountant starts with a part of the burst, because it does not know what its
+//! predecessor issued.
 
 mod accountant;
 mod allowance;
