--- a/crates/dyketally/src/capacity.rs
+++ b/crates/dyketally/src/capacity.rs
@@ -1,62 +1,63 @@
-//! What a node can hold: sessions by its descriptors, bytes of unread input by its memory.
+//! Limits of a node: the number of sessions by its file descriptors, the bytes of buffered input by its
+//! memory.
 //!
-//! A node that takes whatever comes runs out of descriptors for its links and databases, and then
-//! serves nobody; or it is ended by the system when its memory is used up. So new sessions are
-//! refused first, and those that stand go on.
+//! Without limits, a node runs out of descriptors for its links and databases and can then serve no
+//! caller at all, or the system kills it when its memory is used up. New sessions are therefore refused
+//! before that, and open sessions continue.
 
-/// Descriptors kept for all but sessions: links between nodes, connections to databases and the
-/// store, followers, probes. A node among 300 others needed 272 at 190 sessions.
-const DESCRIPTORS_RESERVED: u32 = 512;
-/// Further sessions that are told to go elsewhere at one time; beyond them connections are closed
-/// without a word.
-const REFUSED_AT_ONE_TIME: u32 = 128;
-/// Sessions that are served however few descriptors there are.
-const SESSIONS_AT_LEAST: u32 = 16;
-/// One in so many parts of the memory holds input of callers that isn't a whole message yet. A
-/// session itself takes 7.4 KB, so descriptors run out long before those fill the rest.
-const INPUT_PART: u64 = 4;
-/// Share of its sessions at which a node that was full calls itself ready again.
+/// Descriptors reserved for everything but sessions: links between nodes, connections to databases and
+/// the store, followers, probes. A node among 300 others needed 272 of them at 190 sessions.
+const RESERVED_DESCRIPTORS: u32 = 512;
+/// Connections beyond the session limit that get a refusal at the same time. Connections beyond these are
+/// closed without a reply.
+const MAX_CONCURRENT_REFUSALS: u32 = 128;
+/// Least session limit, however few descriptors there are.
+const MIN_SESSION_LIMIT: u32 = 16;
+/// Divides a node's memory; the quotient is the limit for buffered input that isn't a whole message yet. A
+/// session itself takes 7.4 KB, so descriptors run out long before sessions fill the rest of the memory.
+const INPUT_MEMORY_DIVISOR: u64 = 4;
+/// Share of the session limit at or below which a node that was full reports itself ready again.
 const READY_AGAIN_SHARE: f64 = 0.9;
 
-/// What a node has, as its settings tell.
+/// Resources of a node, as given in its settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Capacity {
-    /// Descriptors that it may open; `None` where they aren't limited.
+    /// File descriptors that the node may open; `None` when they are not limited.
     pub descriptors: Option<u32>,
-    /// Memory that it may use, in megabytes; `None` where it isn't limited.
+    /// Memory that the node may use, in mebibytes; `None` when it is not limited.
     pub memory_mb: Option<u32>,
 }
 
-/// What becomes of a connection that a caller opens.
+/// What to do with a connection that a caller opens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionVerdict {
-    /// It becomes a session.
+    /// Serve it as a session.
     Serve,
-    /// Its caller is told to go elsewhere.
+    /// Refuse it with a reply that tells the caller to connect to another node.
     Refuse,
-    /// It is closed at once: even to refuse it costs more than there is.
+    /// Close it at once without a reply: too many refusals are already under way.
     Close,
 }
 
 impl Capacity {
-    /// Sessions that are served at one time; `None` for any number.
+    /// Most sessions that are served at the same time; `None` when they are not limited.
     pub fn sessions(self) -> Option<u32> {
         let descriptors = self.descriptors?;
-        let left = descriptors.saturating_sub(DESCRIPTORS_RESERVED + REFUSED_AT_ONE_TIME);
-        Some(left.max(SESSIONS_AT_LEAST))
+        let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS + MAX_CONCURRENT_REFUSALS);
+        Some(available.max(MIN_SESSION_LIMIT))
     }
 
-    /// What becomes of one more connection while `open` are, those that are being refused included.
+    /// Decides on one more connection while `open` connections exist, including those being refused.
     pub fn judge(self, open: u32) -> SessionVerdict {
         match self.sessions() {
-            Some(limit) if open >= limit + REFUSED_AT_ONE_TIME => SessionVerdict::Close,
+            Some(limit) if open >= limit + MAX_CONCURRENT_REFUSALS => SessionVerdict::Close,
             Some(limit) if open >= limit => SessionVerdict::Refuse,
             Some(_) | None => SessionVerdict::Serve,
         }
     }
 
-    /// Whether a node with `open` sessions should get new ones, where it `was_full` before: once it is
-    /// full it waits until a tenth of its sessions are gone.
+    /// True when a node with `open` sessions should receive no new ones. A node that `was_full` stays full
+    /// until a tenth of its session limit is free again.
     pub fn is_full(self, open: u32, was_full: bool) -> bool {
         let Some(limit) = self.sessions() else {
             return false;
@@ -67,9 +68,10 @@
         }
     }
 
-    /// Bytes of input that all sessions together may keep until a message is whole.
+    /// Most bytes of incomplete messages that all sessions together may buffer; `None` when they are not
+    /// limited.
     pub fn input_bytes(self) -> Option<u64> {
         let memory = u64::from(self.memory_mb?) << 20;
-        Some(memory / INPUT_PART)
+        Some(memory / INPUT_MEMORY_DIVISOR)
     }
 }
--- a/crates/dyketally/src/delta.rs
+++ b/crates/dyketally/src/delta.rs
@@ -1,17 +1,17 @@
-//! Differences between two versions of a document, for those who have the older one.
+//! Deltas between two versions of a document, for receivers that have the older version.
 //!
-//! A document is cut into pieces behind each closing brace, so that an entry of a list is a piece of its
-//! own wherever it stands. A difference names the runs of pieces that the older version has, and holds
-//! the rest.
+//! A document is split after each closing brace, so that an entry of a list is one piece wherever it is in
+//! the document. A delta refers to the runs of pieces that the older version contains, and holds all other
+//! bytes itself.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What ends a piece.
+/// Last byte of a piece.
 const PIECE_END: u8 = b'}';
 
-/// How to make a newer version out of an older one.
+/// Builds a newer version of a document from an older one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     parts: Vec<Part>,
@@ -20,14 +20,14 @@
 /// One run of bytes of the newer version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Part {
-    /// So many bytes of the older version from `start` on.
+    /// `length` bytes of the older version, from byte `start` on.
     Kept { start: u32, length: u32 },
-    /// Bytes that the older version doesn't have.
+    /// Bytes that the older version does not contain.
     New(Vec<u8>),
 }
 
 impl Delta {
-    /// The difference from `old` to `new`; `None` for documents of 4 GiB or more.
+    /// The delta from `old` to `new`; `None` for documents of 4 GiB or more.
     pub fn between(old: &[u8], new: &[u8]) -> Option<Self> {
         u32::try_from(old.len().max(new.len())).ok()?;
         let mut known = HashMap::new();
@@ -46,7 +46,8 @@
         Some(Self { parts: parts.done })
     }
 
-    /// The newer version; `None` if `old` isn't the version that the difference was made for.
+    /// The newer version; `None` if `old` lacks a range that the delta refers to. Any other document of
+    /// sufficient length gives a wrong result, so callers must pass the version the delta was made for.
     pub fn apply(&self, old: &[u8]) -> Option<Vec<u8>> {
         let mut new = Vec::new();
         for part in &self.parts {
@@ -67,14 +68,14 @@
     document.split_inclusive(|byte| *byte == PIECE_END)
 }
 
-/// Parts under construction, of which neighbours are joined.
+/// Parts of a delta under construction; adjacent runs are merged.
 #[derive(Default)]
 struct Parts {
     done: Vec<Part>,
 }
 
 impl Parts {
-    /// Where `piece` stands in `old` if that is right behind the last run that was kept.
+    /// Start of `piece` in `old` if it directly follows the last kept run there.
     fn following(&self, old: &[u8], piece: &[u8]) -> Option<usize> {
         let Some(Part::Kept { start, length }) = self.done.last() else {
             return None;
--- a/crates/dyketally/src/directory.rs
+++ b/crates/dyketally/src/directory.rs
@@ -1,4 +1,4 @@
-//! The databases of each group as they announce themselves.
+//! Directory of the databases of each group, built from the announcements of the databases.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,14 +8,14 @@
 use crate::identifiers::{DatabaseName, GroupName, ZoneName};
 use crate::time::Timestamp;
 
-/// Whether a database takes new work.
+/// Whether a database accepts new statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// It does.
+    /// The database accepts new statements.
     Ready,
-    /// It serves on for a while and then ends.
+    /// The database announced that it isn't ready: it still serves for a while and then stops.
     Draining,
-    /// It no longer announces itself; it may still serve for a while.
+    /// The database no longer announces itself; it may still serve for a while.
     Gone,
 }
 
@@ -30,30 +30,31 @@
     pub address: SocketAddr,
     /// Where it runs.
     pub zone: ZoneName,
-    /// Statements it runs at one time.
+    /// Most statements that it runs at the same time.
     pub slots: u32,
-    /// True when it takes new work.
+    /// True when it accepts new statements.
     pub ready: bool,
     /// The role it believes it has.
     pub role: Role,
-    /// How much longer it bears less than its full load after its start.
+    /// Time left after its start in which it cannot take its full load.
     pub cold_for: Duration,
 }
 
-/// A database with what is known of it.
+/// A database in the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// What it announced last.
+    /// Its last announcement.
     pub announcement: Announcement,
-    /// Whether it takes new work.
+    /// Whether it accepts new statements.
     pub state: MemberState,
-    /// Since when it hasn't announced itself, while that may be the store's fault.
+    /// When its announcement was first missing, by its own doing or by a fault of the store; `None` while
+    /// it is announced.
     pub unlisted_since: Option<Timestamp>,
-    /// Since when it hasn't been [`MemberState::Ready`].
+    /// When it ceased to be [`MemberState::Ready`]; `None` while it is ready.
     pub leaving_since: Option<Timestamp>,
-    /// Greater than that of every member that became primary before; zero for a replica.
+    /// Order in which members became primary: greater than for every earlier primary, zero for a replica.
     pub primary_order: u64,
-    /// Set when the member refused to act as primary after it had announced that role.
+    /// True when the member refused to act as primary although it had announced that role.
     pub refuted: bool,
 }
 
@@ -64,20 +65,20 @@
     }
 }
 
-/// A change of the directory that someone may have to act on.
+/// A change of the directory that the node may have to act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryChange {
     /// A database announced itself for the first time.
     Appeared(DatabaseName),
     /// A database is leaving.
     Leaving(DatabaseName),
-    /// A database took another role.
+    /// A database announced another role.
     RoleChanged(DatabaseName, Role),
-    /// A database is forgotten.
+    /// A database was removed from the directory.
     Forgotten(DatabaseName),
 }
 
-/// All databases that announced themselves.
+/// All databases that have announced themselves.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     members: BTreeMap<DatabaseName, Member>,
@@ -85,7 +86,7 @@
 }
 
 impl Directory {
-    /// Records an announcement.
+    /// Records an announcement; gives the change it makes, if any.
     pub fn announced(
         &mut self,
         now: Timestamp,
@@ -115,16 +116,16 @@
         role_changed.then_some(DirectoryChange::RoleChanged(name, role))
     }
 
-    /// Records that a database no longer announces itself. It may have left, or the store may
-    /// have lost the announcement: [`Directory::settle_unlisted`] decides.
+    /// Records that a database's announcement is missing. The database may have left, or the store may
+    /// have lost the announcement: [`Directory::settle_unlisted`] decides later.
     pub fn vanished(&mut self, now: Timestamp, name: &DatabaseName) {
         if let Some(member) = self.members.get_mut(name) {
             member.unlisted_since.get_or_insert(now);
         }
     }
 
-    /// Takes databases that haven't announced themselves since before `time` for gone. A database
-    /// that runs announces itself again within its heartbeat.
+    /// Marks databases as gone whose announcements have been missing since `time` or earlier. A running
+    /// database announces itself again within its heartbeat interval.
     pub fn settle_unlisted(&mut self, time: Timestamp) -> Vec<DirectoryChange> {
         let mut changes = Vec::new();
         for member in self.members.values_mut() {
@@ -140,14 +141,15 @@
         changes
     }
 
-    /// The earliest time since which a database that isn't yet taken for gone is unlisted.
+    /// The earliest [`Member::unlisted_since`] of all databases that are not marked as gone.
     pub fn oldest_unlisted(&self) -> Option<Timestamp> {
         let members = self.members.values();
         let pending = members.filter(|member| member.state != MemberState::Gone);
         pending.filter_map(|member| member.unlisted_since).min()
     }
 
-    /// Applies the full list of announcements: those it lacks have vanished.
+    /// Applies the full list of announcements: known databases that are not in it count as
+    /// [`vanished`](Self::vanished).
     pub fn replaced(
         &mut self,
         now: Timestamp,
@@ -169,7 +171,7 @@
         changes
     }
 
-    /// Forgets databases that have been gone since before `time`.
+    /// Removes gone databases that ceased to be ready before `time`.
     pub fn forget_gone_before(&mut self, time: Timestamp) -> Vec<DirectoryChange> {
         let forgotten = self.members.values().filter(|member| {
             member.state == MemberState::Gone && member.leaving_since.is_some_and(|at| at < time)
@@ -184,7 +186,7 @@
             .collect()
     }
 
-    /// Records that a database acted as primary: others that claim the role are out of date.
+    /// Records that a database acted as primary; announcements of that role by others are out of date.
     pub fn acted_as_primary(&mut self, name: &DatabaseName) {
         let newest = self.next_order;
         if let Some(member) = self.members.get_mut(name) {
@@ -203,12 +205,13 @@
         }
     }
 
-    /// The database that leads `group`, as far as is known.
+    /// The primary of `group`, as far as is known: of the databases that have not refused the role, the one
+    /// that became primary last.
     pub fn primary(&self, group: &GroupName) -> Option<&Member> {
         let members = self.members.values();
         let members = members.filter(|member| &member.announcement.group == group);
-        let claiming = members.filter(|member| member.primary_order > 0);
-        claiming
+        let announced_primaries = members.filter(|member| member.primary_order > 0);
+        announced_primaries
             .filter(|member| !member.refuted)
             .max_by_key(|member| member.primary_order)
     }
--- a/crates/dyketally/src/drain.rs
+++ b/crates/dyketally/src/drain.rs
@@ -1,7 +1,8 @@
-//! Planned stop of a node: leaving is announced, then work in flight ends.
+//! Drain, the planned stop of a node: the node announces that it is leaving, then lets what is in flight
+//! finish.
 //!
-//! Work is whatever the stop waits for, under the name that its owner gives it. A drain lets it end
-//! by itself; only at the deadline is the rest cut off, and named.
+//! The owner of a drain defines the type `W` of the items that the drain waits for. Items finish by
+//! themselves; those left at the deadline are cut off and listed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,12 +14,13 @@
 /// How long the steps of a planned stop may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeDrainSettings {
-    /// Longest time to wait until every peer knows; callers are served as usual meanwhile.
+    /// Longest time to wait until every peer has acknowledged that the node is leaving; callers are served
+    /// as usual meanwhile.
     pub announce_wait: Duration,
-    /// Time that callers without work have to send a statement, which is answered with the
-    /// advice to connect elsewhere. After that their connections are closed.
+    /// Time that callers with neither a statement nor a transaction have to send a statement, which is
+    /// answered with the advice to connect to another node. After that their connections are closed.
     pub idle_caller_wait: Duration,
-    /// Time from the start of the stop until the work that is left is cut off.
+    /// Time from the request to stop until the items that are left are cut off.
     pub deadline: Duration,
 }
 
@@ -32,31 +34,31 @@
     }
 }
 
-/// How far a planned stop has come.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum NodeDrainPhase {
     /// No stop is planned.
     Serving,
-    /// Peers are being told; callers and peers are served as usual.
+    /// Peers are being notified; callers and peers are served as usual.
     Announced,
-    /// No new work; what is in flight ends.
+    /// No new requests are accepted; items in flight finish.
     TurningAway,
     /// Nothing is in flight. The process may exit.
     Done,
 }
 
-/// What the owner of a drain has to do; each is asked for once.
+/// What the owner of a drain has to do; each action is given once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeDrainAction<W> {
-    /// Tell every peer that this node is leaving.
+    /// Notify every peer that this node is leaving.
     AnnounceLeaving,
     /// Accept no new callers, and turn callers away between two statements.
     TurnCallersAway,
     /// Close the connections of callers that have neither a statement nor a transaction.
     CloseIdleCallers,
-    /// Cut off the work that is left, and log it.
+    /// Cut off the items that are left, and log them.
     Cut {
-        /// The work that did not end in time.
+        /// The items that did not finish before the deadline.
         work: Vec<W>,
     },
     /// Exit.
@@ -78,7 +80,7 @@
 }
 
 impl<W: Clone + Ord> NodeDrain<W> {
-    /// A node that serves.
+    /// Creates the drain of a node that serves and has no stop planned.
     pub fn new(settings: NodeDrainSettings) -> Self {
         NodeDrain {
             settings,
@@ -93,27 +95,27 @@
         }
     }
 
-    /// How far the stop has come.
+    /// The current phase.
     pub fn phase(&self) -> NodeDrainPhase {
         self.phase
     }
 
-    /// Whether new callers and new work from peers are taken.
+    /// Whether new callers and new requests from peers are accepted.
     pub fn accepts_new_work(&self) -> bool {
         self.phase <= NodeDrainPhase::Announced
     }
 
-    /// Work began, or goes on.
-    pub fn begin(&mut self, work: W) {
-        self.in_flight.insert(work);
+    /// Records that an item is in flight. Repeating the call changes nothing.
+    pub fn begin(&mut self, item: W) {
+        self.in_flight.insert(item);
     }
 
-    /// Work ended.
-    pub fn end(&mut self, work: &W) {
-        self.in_flight.remove(work);
+    /// Records that an item finished.
+    pub fn end(&mut self, item: &W) {
+        self.in_flight.remove(item);
     }
 
-    /// A stop is planned. A second call changes nothing.
+    /// Starts the planned stop. A second call changes nothing.
     pub fn stop(&mut self, now: Timestamp) {
         if self.phase == NodeDrainPhase::Serving {
             self.phase = NodeDrainPhase::Announced;
@@ -121,12 +123,12 @@
         }
     }
 
-    /// Every peer has acknowledged that this node is leaving.
+    /// Records that every peer has acknowledged that this node is leaving.
     pub fn peers_informed(&mut self) {
         self.peers_informed = true;
     }
 
-    /// What to do now. Call after each event and at [`next_wakeup`](Self::next_wakeup).
+    /// The actions due at `now`. Call after each event and at [`next_wakeup`](Self::next_wakeup).
     pub fn poll(&mut self, now: Timestamp) -> Vec<NodeDrainAction<W>> {
         let mut actions = Vec::new();
         let Some(requested) = self.stop_requested else {
@@ -155,7 +157,7 @@
         }
     }
 
-    /// The work that was cut off at the deadline.
+    /// The items that were cut off at the deadline.
     pub fn cut(&self) -> &[W] {
         &self.cut
     }
--- a/crates/dyketally/src/identifiers.rs
+++ b/crates/dyketally/src/identifiers.rs
@@ -39,15 +39,15 @@
 }
 
 name_type!(
-    /// A tenant: one group of callers with a share of the connections of its own.
+    /// A tenant: a group of callers with its own share of the connections.
     TenantName
 );
 name_type!(
-    /// A template: what tenants of one kind have in common.
+    /// A template: the settings that tenants of one kind have in common.
     TemplateName
 );
 name_type!(
-    /// A database group: a primary and its replicas, which elect the primary among themselves.
+    /// A database group: a primary and its replicas, which elect the primary from among themselves.
     GroupName
 );
 name_type!(
@@ -55,7 +55,7 @@
     DatabaseName
 );
 name_type!(
-    /// A proxy node, unique among the nodes that run at one time.
+    /// A proxy node, unique among the nodes that run at the same time.
     NodeName
 );
 name_type!(
@@ -77,14 +77,15 @@
     pub zone: ZoneName,
 }
 
-/// A caller's session at the edge that terminates it. Not kept when the caller roams.
+/// A caller's session at the edge that terminates it. A caller that reconnects to another edge gets a new
+/// id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId {
     /// The edge that terminates the caller's connection.
     pub edge: NodeName,
     /// Incarnation of the edge's process, so that a restarted edge never repeats a session id.
     pub incarnation: u64,
-    /// Number of the connection within the edge's incarnation.
+    /// Number of the connection within the incarnation.
     pub number: u64,
 }
 
--- a/crates/dyketally/src/lib.rs
+++ b/crates/dyketally/src/lib.rs
@@ -1,8 +1,7 @@
-//! Coordination parts of the dyketally database proxy.
+//! Coordination logic of the dyketally database proxy.
 //!
-//! Every part is a state machine without I/O and without a clock: callers pass in messages and
-//! the current [`time::Timestamp`], and get decisions back. The daemons and the stateful fuzzers
-//! drive the very same code.
+//! Each module is free of I/O and clocks: its users pass in messages and the current
+//! [`time::Timestamp`], and get decisions back. The daemons and the stateful fuzzers run the same code.
 
 pub mod admission;
 pub mod capacity;
--- a/crates/dyketally/src/time.rs
+++ b/crates/dyketally/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the coordination parts see it: passed in by the caller, never read from a clock.
+//! Points in time for code without a clock: the caller passes them in.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -15,7 +15,7 @@
     /// The start of the clock.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// The end of the clock, which it never reaches.
+    /// The greatest timestamp, which the clock never reaches.
     pub const MAX: Timestamp = Timestamp(u64::MAX);
 
     /// The point `microseconds` after the start of the clock.
