--- a/crates/dyketally/src/membership/apply.rs
+++ b/crates/dyketally/src/membership/apply.rs
@@ -1,4 +1,4 @@
-//! What an update changes in the member table.
+//! Applying updates to the member table.
 
 use crate::identifiers::NodeName;
 use crate::time::Timestamp;
@@ -9,23 +9,24 @@
 use super::output::Event;
 use super::table::{Entry, Status};
 
-/// Time after the start in which a node takes a greater incarnation under its own name for a
-/// trace of an earlier process, and goes above it. Later, it takes it for its successor.
-const SETTLING_TIME: std::time::Duration = std::time::Duration::from_secs(10);
+/// Time after the start in which a node attributes a greater incarnation under its own name to an earlier
+/// process, and raises its own above it. Later, it attributes such an incarnation to a newer process that
+/// replaces this one.
+const PREDECESSOR_WINDOW: std::time::Duration = std::time::Duration::from_secs(10);
 
-/// What became of an update.
+/// Result of applying an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Applied {
-    /// It was news.
+    /// The update was new to this node.
     New,
-    /// It was known or of no use.
+    /// The update was already known, or cannot be used here.
     Known,
-    /// It is older than what is known here.
+    /// The update is older than what this node knows.
     Outdated,
 }
 
 impl Membership {
-    /// Applies one update; news is passed on if `spread`.
+    /// Applies one update; a new one is passed on to other nodes if `spread`.
     pub(super) fn apply(&mut self, now: Timestamp, update: Update, spread: bool) -> Applied {
         if update.node() == &self.own {
             return self.apply_to_self(now, &update);
@@ -50,7 +51,7 @@
             }
         };
         if applied == Applied::New {
-            self.sync.changed(now);
+            self.sync.record_change(now);
             self.state_version += 1;
             if spread {
                 self.rumors.add(now, update);
@@ -59,7 +60,8 @@
         applied
     }
 
-    /// Raises this node's own incarnation, above `above` if given.
+    /// Raises this node's own incarnation, above `above` if given, and marks the node as leaving if
+    /// `leaving`.
     pub(super) fn renew_self(&mut self, now: Timestamp, above: Option<Incarnation>, leaving: bool) {
         let Some(mut record) = self.own_entry().map(|entry| entry.record.clone()) else {
             return;
@@ -79,21 +81,21 @@
 
     fn apply_to_self(&mut self, now: Timestamp, update: &Update) -> Applied {
         let own = self.own_incarnation();
-        let told = update.incarnation();
-        if told < own {
+        let claimed = update.incarnation();
+        if claimed < own {
             return Applied::Outdated;
         }
-        let as_it_is = matches!(update, Update::Alive(_) | Update::Renewed { .. });
-        if told == own && as_it_is {
+        let confirms_alive = matches!(update, Update::Alive(_) | Update::Renewed { .. });
+        if claimed == own && confirms_alive {
             return Applied::Known;
         }
-        if told.started > own.started && self.schedule.age(now) > SETTLING_TIME {
+        if claimed.started > own.started && self.schedule.age(now) > PREDECESSOR_WINDOW {
             self.phase = Phase::Replaced;
             self.emit(Event::Replaced);
             return Applied::Known;
         }
         self.counters.refutations += 1;
-        self.renew_self(now, Some(told), false);
+        self.renew_self(now, Some(claimed), false);
         Applied::Known
     }
 
@@ -104,10 +106,10 @@
             }
             Some(entry) => {
                 let old = entry.clone();
-                self.take_renewed(now, &old, record);
+                self.replace_record(now, &old, record);
                 Applied::New
             }
-            None => self.take_unknown(now, record),
+            None => self.add_member(now, record),
         }
     }
 
@@ -125,7 +127,7 @@
             return outdated_or_known(&old, incarnation);
         }
         if incarnation.started != old.record.incarnation.started {
-            // Another process: its addresses come with its record.
+            // This is a new process of the node; its addresses are unknown until its record arrives.
             return Applied::Known;
         }
         let record = Record {
@@ -133,22 +135,22 @@
             leaving: leaving || old.record.leaving,
             ..old.record.clone()
         };
-        self.take_renewed(now, &old, record);
+        self.replace_record(now, &old, record);
         Applied::New
     }
 
-    fn take_unknown(&mut self, now: Timestamp, record: Record) -> Applied {
+    fn add_member(&mut self, now: Timestamp, record: Record) -> Applied {
         if self.table.len() >= self.config.most_members {
             self.counters.members_refused += 1;
             return Applied::Known;
         }
         let node = record.node.clone();
-        self.put_live(now, record);
+        self.insert_live(now, record);
         self.emit(Event::Joined(node));
         Applied::New
     }
 
-    fn take_renewed(&mut self, now: Timestamp, old: &Entry, record: Record) {
+    fn replace_record(&mut self, now: Timestamp, old: &Entry, record: Record) {
         let node = record.node.clone();
         let same_process = record.incarnation.started == old.record.incarnation.started;
         let newly_leaving = record.leaving && !old.record.leaving;
@@ -156,7 +158,7 @@
         if old.status.is_live() && record.locality == old.record.locality {
             self.table.put(record, Status::Alive, now);
         } else {
-            self.put_live(now, record);
+            self.insert_live(now, record);
         }
         match old.status {
             _ if !same_process => self.emit(Event::Joined(node.clone())),
@@ -169,7 +171,7 @@
         }
     }
 
-    fn put_live(&mut self, now: Timestamp, record: Record) {
+    fn insert_live(&mut self, now: Timestamp, record: Record) {
         let (node, locality) = (record.node.clone(), record.locality.clone());
         self.table.put(record, Status::Alive, now);
         self.rings.insert(&node, &locality, &mut self.rng);
@@ -209,7 +211,7 @@
         self.suspicions.open(node, incarnation, by, now);
         if *by != self.own {
             let size = self.region_size();
-            self.rings.suspect(node, size, &mut self.rng);
+            self.rings.add_suspect(node, size, &mut self.rng);
         }
         self.emit(Event::Suspected(node.clone()));
         Applied::New
@@ -244,7 +246,7 @@
     }
 }
 
-/// The short form of a record whose process is known.
+/// The short update for a record whose process other nodes already know.
 pub(super) fn renewal_of(record: &Record) -> Update {
     Update::Renewed {
         node: record.node.clone(),
@@ -253,7 +255,8 @@
     }
 }
 
-/// Leaving never goes back within one process, so it is news at an incarnation already known.
+/// True when an update is newer than `entry`. A process never revokes that it is leaving, so the first
+/// announcement of that is new even at a known incarnation.
 fn is_newer(entry: &Entry, incarnation: Incarnation, leaving: bool) -> bool {
     let known = &entry.record;
     let starts_leaving = leaving && !known.leaving && entry.status.is_live();
--- a/crates/dyketally/src/membership/config.rs
+++ b/crates/dyketally/src/membership/config.rs
@@ -1,42 +1,44 @@
-//! Settings of membership.
+//! Settings of membership and their validation.
 
 use std::time::Duration;
 
 use super::message::LONGEST_DATAGRAM;
 
-/// Settings of membership. All nodes should run with the same.
+/// Settings of membership. All nodes should run with the same values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Time between two probes of one node.
+    /// Time between two probes that a node sends.
     pub probe_interval: Duration,
-    /// Time without an acknowledgement after which helpers are asked to probe.
+    /// Time without an acknowledgement after which helpers are requested to probe.
     pub direct_timeout: Duration,
     /// Time without any acknowledgement after which the probed node is suspected.
     pub probe_timeout: Duration,
-    /// Nodes that are asked to probe a node that does not answer.
+    /// Number of helpers: nodes that are requested to probe a node that does not answer.
     pub helpers: usize,
     /// Time from suspicion to death when several nodes suspect independently.
     pub shortest_suspicion: Duration,
     /// Time from suspicion to death when a single node suspects.
     pub longest_suspicion: Duration,
-    /// Independent suspicions, after the first, that bring the time down to the shortest.
+    /// Number of independent suspicions, after the first, with which the time from suspicion to death is
+    /// the shortest.
     pub confirmations: usize,
     /// Most bytes of updates on one probe or acknowledgement.
     pub update_bytes: usize,
-    /// Pages of the member table that are sent to others each second at most.
+    /// Most pages of the member table that are sent to other nodes per second.
     pub sync_pages_per_second: u32,
     /// Time without an answer from any node of a region after which the region is unreachable.
     pub region_timeout: Duration,
-    /// Time between two probes of members that are held dead.
+    /// Time between two probes of members that were declared dead.
     pub heal_interval: Duration,
-    /// Time after which a member that died or left is forgotten.
+    /// Time after which a member that died or left, or whose region does not answer, is removed from the
+    /// table.
     pub forget_after: Duration,
-    /// After a gap between two calls longer than this, probes under way are forgotten: their
-    /// acknowledgements may have arrived unread.
+    /// After a gap between two calls longer than this, pending probes are discarded: their
+    /// acknowledgements may have arrived without being read.
     pub stall_threshold: Duration,
     /// A gap between two calls longer than this means that this process was paused.
     pub pause_threshold: Duration,
-    /// Members that are kept at most, so that garbage cannot exhaust memory.
+    /// Most members that are kept, so that garbage datagrams cannot exhaust memory.
     pub most_members: usize,
 }
 
@@ -62,21 +64,21 @@
     }
 }
 
-/// A setting that can't work.
+/// Why settings are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidConfig {
     /// A duration or count that must be positive is zero.
     #[error("{setting} is zero; set it to a positive value")]
     Zero {
-        /// The setting.
+        /// Name of the setting.
         setting: &'static str,
     },
     /// One setting must be less than another.
     #[error("{lesser} is not below {greater}; lower the first or raise the second")]
     NotBelow {
-        /// The setting that must be less.
+        /// Name of the setting that must be less.
         lesser: &'static str,
-        /// The setting that must be greater.
+        /// Name of the setting that must be greater.
         greater: &'static str,
     },
     /// Updates would not fit in a datagram.
@@ -87,14 +89,14 @@
     },
 }
 
-/// Room in a datagram for everything except the updates.
+/// Bytes of a datagram reserved for everything except the updates.
 const HEADER_ROOM: usize = 400;
 
 impl Config {
     /// Checks that the settings can work together.
     ///
     /// # Errors
-    /// Names the first setting that can't work and what to change.
+    /// Names the first invalid setting and what to change.
     pub fn validate(&self) -> Result<(), InvalidConfig> {
         self.check_positive()?;
         self.check_order()?;
--- a/crates/dyketally/src/membership/digest.rs
+++ b/crates/dyketally/src/membership/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of the live members, by bucket, so that nodes find what differs between them.
+//! Digests of the live members, by bucket, with which two nodes find the entries that differ between them.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -6,7 +6,7 @@
 
 use super::member::Record;
 
-/// Number of buckets.
+/// Number of buckets over which members are distributed.
 pub(super) const BUCKETS: usize = 64;
 
 /// One digest for each bucket of live members.
@@ -22,22 +22,22 @@
         }
     }
 
-    /// Adds a live member, or takes out one that was added.
+    /// Adds a live member, or removes one that was added.
     pub(super) fn toggle(&mut self, record: &Record) {
         self.buckets[bucket_of(&record.node)] ^= hash_of(record);
     }
 
-    /// One digest of all buckets.
+    /// Combined digest of all buckets.
     pub(super) fn whole(&self) -> u64 {
         self.buckets.iter().fold(0, |whole, bucket| whole ^ bucket)
     }
 
-    /// The digests as they are sent.
+    /// The digests of all buckets as sent to peers, shortened to 32 bits each.
     pub(super) fn to_wire(&self) -> Vec<u32> {
         self.buckets.iter().copied().map(shorten).collect()
     }
 
-    /// True for each bucket that differs from a peer's.
+    /// For each bucket, true if its digest differs from the peer's.
     pub(super) fn differing(&self, peer: &[u32]) -> [bool; BUCKETS] {
         std::array::from_fn(|bucket| peer.get(bucket) != Some(&shorten(self.buckets[bucket])))
     }
--- a/crates/dyketally/src/membership/engine.rs
+++ b/crates/dyketally/src/membership/engine.rs
@@ -1,4 +1,4 @@
-//! The membership of one node: its state and its interface.
+//! State and interface of one node's membership.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,36 +19,36 @@
 use super::rings::Rings;
 use super::rumors::Rumors;
 use super::schedule::Schedule;
-use super::send::TOLD_WHEN_LEAVING;
+use super::send::NOTIFIED_WHEN_LEAVING;
 use super::suspicion::Suspicions;
 use super::sync::SyncPace;
 use super::table::{Entry, Status, Table};
 
-/// Members that a node tells at once when its configuration has become newer.
-const TOLD_OF_REVISION: usize = 3;
+/// Number of members that a node notifies at once when it gets a newer configuration.
+const NOTIFIED_OF_REVISION: usize = 3;
 
-/// Where the node stands.
+/// Whether the node takes part in membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It takes part.
+    /// The node takes part.
     Running,
-    /// It has told that it is gone.
+    /// The node has announced that it left.
     Left,
-    /// A newer process has its name.
+    /// A newer process runs under the node's name.
     Replaced,
 }
 
 /// The membership of one node.
 ///
-/// The driver passes in what arrives ([`Membership::handle`]) and calls [`Membership::tick`] when
-/// [`Membership::next_deadline`] is reached; both give back what to do.
+/// The driver passes in received messages ([`Membership::handle`]) and calls [`Membership::tick`] when
+/// [`Membership::next_deadline`] is reached; both return what the driver has to do.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) config: Config,
     pub(super) own: NodeName,
     pub(super) phase: Phase,
     pub(super) revision: Revision,
-    pub(super) contacts: Vec<SocketAddr>,
+    pub(super) join_addresses: Vec<SocketAddr>,
     pub(super) table: Table,
     pub(super) rings: Rings,
     pub(super) rumors: Rumors,
@@ -65,10 +65,10 @@
 }
 
 impl Membership {
-    /// Makes the membership of the node that `own` describes. `seed` sets its random choices.
+    /// Creates the membership of the node that `own` describes. `seed` determines its random choices.
     ///
     /// # Errors
-    /// Fails when `config` can't work.
+    /// Fails when `config` is invalid.
     pub fn new(
         config: Config,
         own: Record,
@@ -80,7 +80,7 @@
             own: own.node.clone(),
             phase: Phase::Running,
             revision: Revision::default(),
-            contacts: Vec::new(),
+            join_addresses: Vec::new(),
             table: Table::new(),
             rings: Rings::new(own.node.clone(), own.locality.clone()),
             rumors: Rumors::default(),
@@ -101,17 +101,18 @@
         Ok(membership)
     }
 
-    /// Sets the addresses to join through: seeds from the settings, and the platform's list.
-    pub fn set_contacts(&mut self, contacts: Vec<SocketAddr>) {
+    /// Sets the addresses through which the node joins: seeds from the settings and the platform's list.
+    /// The node's own address is left out.
+    pub fn set_contacts(&mut self, addresses: Vec<SocketAddr>) {
         let own = self
             .own_entry()
             .map(|entry| entry.record.addresses.membership);
-        self.contacts = contacts;
-        self.contacts.retain(|contact| Some(*contact) != own);
+        self.join_addresses = addresses;
+        self.join_addresses.retain(|address| Some(*address) != own);
     }
 
-    /// Sets the configuration revision that this node tells others. A newer one is told to a few
-    /// members at once.
+    /// Sets the configuration revision that this node announces. A newer one is announced to a few members
+    /// at once.
     pub fn set_revision(&mut self, now: Timestamp, revision: Revision) -> Vec<Output> {
         let is_newer = revision > self.revision;
         self.revision = revision;
@@ -120,16 +121,16 @@
             self.revision_version += 1;
         }
         let interval = self.config.probe_interval;
-        if is_newer && self.phase == Phase::Running && self.schedule.may_tell(interval, now) {
-            self.tell_some(now, TOLD_OF_REVISION);
+        if is_newer && self.phase == Phase::Running && self.schedule.may_notify(interval, now) {
+            self.notify_some(now, NOTIFIED_OF_REVISION);
         }
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes a datagram that arrived from `from`; one that can't be read is counted.
+    /// Handles a datagram received from `from`; one that cannot be decoded is counted and dropped.
     ///
     /// # Errors
-    /// Tells why the datagram was dropped.
+    /// Gives the reason why the datagram was dropped.
     pub fn handle_datagram(
         &mut self,
         now: Timestamp,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Takes a message that arrived from `from`.
+    /// Handles a message received from `from`.
     pub fn handle(&mut self, now: Timestamp, from: SocketAddr, message: Message) -> Vec<Output> {
         self.advance(now);
         self.counters.received += 1;
@@ -155,7 +156,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Does what is due at `now`.
+    /// Runs the actions that are due at `now`.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Output> {
         self.advance(now);
         if self.phase == Phase::Running {
@@ -164,19 +165,19 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Tells others that this node will leave, and goes on to take part.
+    /// Announces that this node will leave; the node still takes part.
     pub fn announce_leaving(&mut self, now: Timestamp) -> Vec<Output> {
         if self.phase == Phase::Running {
             self.renew_self(now, None, true);
-            self.tell_some(now, TOLD_WHEN_LEAVING);
+            self.notify_some(now, NOTIFIED_WHEN_LEAVING);
         }
         std::mem::take(&mut self.outputs)
     }
 
-    /// Tells others that this node is gone, and takes part no longer.
+    /// Announces that this node has left; the node no longer takes part.
     pub fn leave(&mut self, now: Timestamp) -> Vec<Output> {
         if self.phase == Phase::Running {
-            self.tell_left(now);
+            self.announce_left(now);
         }
         std::mem::take(&mut self.outputs)
     }
@@ -187,14 +188,14 @@
         if self.phase != Phase::Running {
             return None;
         }
-        let judges = self.other_judges();
-        let suspicion = self.suspicions.next_deadline(&self.config, judges);
+        let confirmers = self.possible_confirmers();
+        let suspicion = self.suspicions.next_deadline(&self.config, confirmers);
         let deadlines = [suspicion, self.probes.next_deadline()];
         let scheduled = std::iter::once(self.schedule.next_deadline());
         scheduled.chain(deadlines.into_iter().flatten()).min()
     }
 
-    /// All members that are known, this node among them.
+    /// All known members, including this node.
     pub fn members(&self) -> Vec<Member> {
         self.table
             .iter()
@@ -207,12 +208,12 @@
         self.table.get(node).map(|entry| self.member_of(entry))
     }
 
-    /// Grows whenever [`Membership::members`] changes.
+    /// Increases whenever [`Membership::members`] changes.
     pub fn view_version(&self) -> u64 {
         self.state_version + self.revision_version
     }
 
-    /// Grows whenever anything but a revision changes in [`Membership::members`].
+    /// Increases whenever anything but a revision changes in [`Membership::members`].
     pub fn state_version(&self) -> u64 {
         self.state_version
     }
@@ -252,14 +253,15 @@
         region(node).is_some_and(|it| Some(it) == region(&self.own))
     }
 
-    /// Live members of this node's region, itself among them.
+    /// Number of live members of this node's region, including this node.
     pub(super) fn region_size(&self) -> usize {
         let own = self.own_entry();
         own.map_or(1, |entry| self.table.live_in(&entry.record.locality.region))
     }
 
-    /// Members that could confirm a suspicion of this node: all of the region but the two.
-    pub(super) fn other_judges(&self) -> usize {
+    /// Number of members that could confirm a suspicion raised by this node: all live members of the region
+    /// except this node and the suspected one.
+    pub(super) fn possible_confirmers(&self) -> usize {
         self.region_size().saturating_sub(2)
     }
 
@@ -294,7 +296,7 @@
         Some(entry.record.addresses.membership)
     }
 
-    /// Notes the time, and whether this process was paused since the last call.
+    /// Records the time of a call, and compensates for a pause of this process since the last one.
     fn advance(&mut self, now: Timestamp) {
         let gap = self.schedule.advance(now);
         if gap > self.config.stall_threshold {
@@ -306,11 +308,12 @@
         }
     }
 
-    /// Silence during a pause says nothing about others; their news has to be caught up with.
+    /// Recovers from a pause of this process. Missing answers during the pause say nothing about other
+    /// nodes, and their updates were missed, so the member table is requested again.
     fn recover_from_pause(&mut self, gap: Duration, now: Timestamp) {
         self.counters.pauses += 1;
         self.regions.extend(gap, now);
-        self.sync.start_over();
+        self.sync.restart_join();
         self.emit(Event::Paused(gap));
     }
 }
--- a/crates/dyketally/src/membership/member.rs
+++ b/crates/dyketally/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What is known about one node.
+//! Records and states of nodes.
 
 use std::net::SocketAddr;
 
@@ -7,17 +7,17 @@
 use crate::identifiers::{Locality, NodeName};
 use crate::policy::Revision;
 
-/// Orders what is said about one node: a statement about a greater incarnation is newer.
+/// Orders the updates about one node: an update about a greater incarnation is newer.
 ///
-/// Only the node itself raises its incarnation, so nodes that keep nothing on disk need a start
-/// time that grows from one process to the next.
+/// Only the node itself raises its incarnation. Nodes keep nothing on disk, so each process of a node
+/// needs a later start time than the process before it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation {
     /// When the process started, in milliseconds of the wall clock.
     pub started: u64,
-    /// How often the process has renewed itself since: to refute a suspicion, or to leave.
+    /// How often the process has raised its incarnation since: to refute a suspicion, or to leave.
     pub renewed: u32,
 }
 
@@ -38,31 +38,31 @@
     }
 }
 
-/// Where a node accepts what.
+/// Addresses at which a node listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Addresses {
-    /// Datagrams of membership (UDP).
+    /// For membership datagrams (UDP).
     pub membership: SocketAddr,
-    /// Links from other nodes (TCP).
+    /// For links from other nodes (TCP).
     pub peers: SocketAddr,
-    /// Requests of operators (HTTP).
+    /// For requests of operators (HTTP).
     pub admin: SocketAddr,
 }
 
-/// What a node says about itself.
+/// What a node announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// The node.
     pub node: NodeName,
-    /// The incarnation that said this.
+    /// The incarnation that announced this record.
     pub incarnation: Incarnation,
     /// Where it runs.
     pub locality: Locality,
-    /// Where it accepts what.
+    /// Where it listens.
     pub addresses: Addresses,
     /// Its share of the databases relative to other nodes of its zone.
     pub weight: u16,
-    /// It is going to leave.
+    /// The node has announced that it will leave.
     pub leaving: bool,
 }
 
@@ -70,22 +70,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// It takes part.
+    /// The node takes part.
     Alive,
-    /// It has told that it will leave; it finishes its work.
+    /// The node has announced that it will leave; it finishes what is in flight.
     Leaving,
-    /// It did not answer; it is declared dead unless it refutes.
+    /// The node did not answer; it is declared dead unless it refutes the suspicion.
     Suspect,
-    /// No node of its region answers nodes of this region.
+    /// No node of the node's region answers nodes of this region.
     Unreachable,
-    /// Nodes of its region declared it dead.
+    /// Nodes of its region declared the node dead.
     Dead,
-    /// It has told that it is gone.
+    /// The node has announced that it left.
     Left,
 }
 
 impl MemberState {
-    /// The state in one word, as operators see it.
+    /// The state in one word, as shown to operators.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "alive",
@@ -97,13 +97,13 @@
         }
     }
 
-    /// Work may be sent to the node.
+    /// True when requests may be sent to the node.
     pub const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Leaving | Self::Suspect)
     }
 }
 
-/// One node in the view of this node.
+/// A node as this node sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The node.
@@ -112,14 +112,14 @@
     pub incarnation: Incarnation,
     /// Where it runs.
     pub locality: Locality,
-    /// Where it accepts what.
+    /// Where it listens.
     pub addresses: Addresses,
     /// Its share of the databases relative to other nodes of its zone.
     pub weight: u16,
-    /// It has told that it will leave. Stays set while it is suspected or unreachable.
+    /// The node has announced that it will leave. Stays set while it is suspected or unreachable.
     pub leaving: bool,
     /// Its state.
     pub state: MemberState,
-    /// The configuration revision it had when this node last heard from it directly.
+    /// Its configuration revision in the last message that this node received directly from it.
     pub revision: Revision,
 }
--- a/crates/dyketally/src/membership/message.rs
+++ b/crates/dyketally/src/membership/message.rs
@@ -13,38 +13,39 @@
 /// The first byte of each datagram. Datagrams with another version are refused.
 pub const WIRE_VERSION: u8 = 1;
 
-/// Longest datagram that is sent or accepted, in bytes; fits the smallest usual path MTU.
+/// Longest datagram that is sent or accepted, in bytes; it fits the smallest usual path MTU.
 pub const LONGEST_DATAGRAM: usize = 1_200;
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// What each message tells about its sender.
+    /// The state of the sender.
     pub header: Header,
-    /// What the message is for.
+    /// The request or answer.
     pub body: Body,
-    /// What the sender has learned of late.
+    /// Recent updates that the sender passes on.
     pub updates: Vec<Update>,
 }
 
-/// What each message tells about its sender.
+/// The state of the sender, part of each message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
     /// The sender.
     pub sender: NodeName,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// It is going to leave.
+    /// The sender has announced that it will leave.
     pub leaving: bool,
     /// Its configuration revision.
     pub revision: Revision,
     /// Digest of its table of live members.
     pub digest: u64,
-    /// When its region last had an answer from other regions; sent within the region only.
+    /// When each other region last answered a node of the sender's region; empty in messages to other
+    /// regions.
     pub regions: Vec<RegionContact>,
 }
 
-/// When a region last had an answer from another region.
+/// When another region last answered a node of the sender's region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionContact {
     /// The other region.
@@ -53,10 +54,10 @@
     pub age_millis: u32,
 }
 
-/// What a message is for.
+/// The request or answer that a message carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks for an acknowledgement.
+    /// Requests an acknowledgement.
     Ping {
         /// Number of the probe at its sender.
         sequence: u32,
@@ -66,7 +67,7 @@
         /// The ping's number.
         sequence: u32,
     },
-    /// Asks a helper to probe a node.
+    /// Requests that a helper probe a node.
     IndirectPing {
         /// Number of the probe at its sender.
         sequence: u32,
@@ -75,54 +76,54 @@
         /// Its address for membership.
         address: SocketAddr,
     },
-    /// The helper had an acknowledgement from the node.
+    /// Reports that the helper received an acknowledgement from the node.
     IndirectAck {
         /// The number in the request to the helper.
         sequence: u32,
     },
-    /// Asks for members that the sender lacks or holds differently.
+    /// Requests the members that the sender lacks or that differ in its table.
     SyncRequest {
         /// Digests of the buckets of the sender's member table.
         buckets: Vec<u32>,
     },
     /// Answers a sync request; the members are in the message's updates.
     SyncPage {
-        /// The answer did not fit; ask again.
+        /// More members differ than this page holds: another page follows, or a new request is needed.
         more: bool,
     },
 }
 
-/// Something learned about one node.
+/// A change of one node's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// It lives: everything it says about itself.
+    /// The node is alive; this is its full record.
     Alive(Record),
-    /// The same process renewed itself.
+    /// The node's process raised its incarnation.
     Renewed {
         /// The node.
         node: NodeName,
         /// Its new incarnation.
         incarnation: Incarnation,
-        /// It is going to leave.
+        /// The node has announced that it will leave.
         leaving: bool,
     },
-    /// It did not answer. Of use within its region only.
+    /// The node did not answer. Used only within its own region.
     Suspected {
         /// The node.
         node: NodeName,
         /// The incarnation that did not answer.
         incarnation: Incarnation,
-        /// The node that had no answer.
+        /// The node that received no answer.
         by: NodeName,
     },
-    /// It was declared dead.
+    /// The node was declared dead.
     Died {
         /// The node.
         node: NodeName,
         /// The incarnation that died.
         incarnation: Incarnation,
     },
-    /// It told that it is gone.
+    /// The node announced that it left.
     Left {
         /// The node.
         node: NodeName,
@@ -156,15 +157,15 @@
 
     /// The update's size on the wire, in bytes.
     pub(super) fn encoded_size(&self) -> usize {
-        // Encoding to a vector fails only for types that postcard can't hold, which these aren't.
+        // Encoding to a vector fails only for types that postcard does not support; `Update` contains none.
         postcard::to_stdvec(self).map_or(LONGEST_DATAGRAM, |bytes| bytes.len())
     }
 }
 
-/// Why a datagram is not a message.
+/// Why a datagram is not a valid message.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// Empty, too long, or followed by something else.
+    /// The datagram is empty or too long, has trailing bytes, or holds a list of the wrong length.
     #[error(
         "a datagram of {length} bytes is not a membership message; check what sends to this port"
     )]
@@ -172,24 +173,26 @@
         /// Its length in bytes.
         length: usize,
     },
-    /// Another version of the messages.
+    /// The datagram has another version of the message format.
     #[error(
-        "a datagram has version {found}, this node speaks {WIRE_VERSION}; run the same version on all nodes"
+        "a datagram has message version {found}, this node uses {WIRE_VERSION}; run the same version on all nodes"
     )]
     Version {
         /// The version found.
         found: u8,
     },
-    /// Not a message of this version.
-    #[error("a datagram could not be read ({0}); check what sends to this port")]
+    /// The datagram is not a message of this version.
+    #[error(
+        "a datagram could not be decoded as a membership message ({0}); check what sends to this port"
+    )]
     Malformed(#[from] postcard::Error),
 }
 
 /// Encodes `message` as a datagram.
 ///
 /// # Errors
-/// Fails when the message is longer than [`LONGEST_DATAGRAM`]; messages made by this module
-/// are not.
+/// Fails when the message is longer than [`LONGEST_DATAGRAM`], which never happens with messages that
+/// this module makes.
 pub fn encode(message: &Message) -> Result<Vec<u8>, WireError> {
     let datagram = postcard::to_extend(message, vec![WIRE_VERSION])?;
     let length = datagram.len();
@@ -202,7 +205,7 @@
 /// Decodes a datagram.
 ///
 /// # Errors
-/// Tells why the datagram is not a message of this version.
+/// Gives the reason why the datagram is not a message of this version.
 pub fn decode(datagram: &[u8]) -> Result<Message, WireError> {
     let length = datagram.len();
     let Some((&version, payload)) = datagram.split_first() else {
@@ -215,13 +218,13 @@
         return Err(WireError::Version { found: version });
     }
     let (message, rest) = postcard::take_from_bytes::<Message>(payload)?;
-    if !rest.is_empty() || !has_sound_lengths(&message) {
+    if !rest.is_empty() || !has_valid_lengths(&message) {
         return Err(WireError::Length { length });
     }
     Ok(message)
 }
 
-fn has_sound_lengths(message: &Message) -> bool {
+fn has_valid_lengths(message: &Message) -> bool {
     match &message.body {
         Body::SyncRequest { buckets } => buckets.len() == BUCKETS,
         _ => true,
--- a/crates/dyketally/src/membership/mod.rs
+++ b/crates/dyketally/src/membership/mod.rs
@@ -1,18 +1,17 @@
 //! Membership between nodes: failure detection and dissemination.
 //!
-//! A state machine in the manner of SWIM. Each node probes one other node an interval; a node that
-//! does not answer is probed through helpers, then suspected, and declared dead unless it refutes
-//! the suspicion with a greater incarnation in time. What is learned rides on the probes and their
-//! acknowledgements, in a bounded number of bytes. The cost of a node does not grow with the
-//! number of nodes.
+//! A state machine modelled on SWIM. In each interval a node probes one other node; a node that does not
+//! answer is probed through helpers, then suspected, and declared dead unless it refutes the suspicion in
+//! time with a greater incarnation. Updates are piggybacked on probes and their acknowledgements, in a
+//! bounded number of bytes. The load of a node does not grow with the number of nodes.
 //!
-//! Two additions carry several regions. Only nodes of the same region declare each other dead: a
-//! cut between regions changes one entry (the region is unreachable) instead of a state for each
-//! node behind it. And each message carries a digest of the sender's member table: nodes whose
-//! tables differ exchange the entries that differ, so a healed cut and a joining node need no
+//! Two additions support several regions. Only nodes of the same region declare each other dead: a network
+//! partition between regions changes one entry (the region is unreachable) instead of the state of each
+//! node behind it. And each message carries a digest of the sender's member table: nodes whose tables
+//! differ exchange the entries that differ, so that neither a healed partition nor a joining node needs a
 //! separate mechanism.
 //!
-//! Membership only buys speed: no safety property of dyketally depends on it.
+//! Membership only makes reactions to changes faster: no safety property of dyketally depends on it.
 
 mod apply;
 mod config;
--- a/crates/dyketally/src/membership/output.rs
+++ b/crates/dyketally/src/membership/output.rs
@@ -1,4 +1,4 @@
-//! What membership asks its driver to do, and what it counts.
+//! Instructions of membership to its driver, events and counters.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,24 +8,24 @@
 
 use super::message::Message;
 
-/// What the driver has to do.
+/// An instruction to the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram.
     Send {
-        /// To this address.
+        /// The destination.
         to: SocketAddr,
-        /// This message.
+        /// The message to encode and send.
         message: Box<Message>,
     },
-    /// Tell the rest of the program.
+    /// Report an event to the rest of the program.
     Event(Event),
 }
 
-/// A change that the rest of the program may care about.
+/// A change that other parts of the program may have to react to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A node, or a new process of a known node, is there.
+    /// A node, or a new process of a known node, has joined.
     Joined(NodeName),
     /// A node does not answer.
     Suspected(NodeName),
@@ -33,13 +33,13 @@
     Refuted(NodeName),
     /// A node was declared dead.
     Died(NodeName),
-    /// A node will leave.
+    /// A node has announced that it will leave.
     Leaving(NodeName),
     /// A node has left.
     Left(NodeName),
-    /// A node that was held dead lives.
+    /// A node that had died or left is alive again.
     Returned(NodeName),
-    /// A node has a newer configuration than this one.
+    /// A node has a newer configuration than this node.
     RevisionSeen {
         /// The node that has it.
         node: NodeName,
@@ -48,9 +48,9 @@
     },
     /// No node of the region answers.
     RegionUnreachable(RegionName),
-    /// The region answers again.
+    /// A node of the region answers again.
     RegionReachable(RegionName),
-    /// This process was paused, or starved of processor time.
+    /// This process was paused, or got no processor time, for this long.
     Paused(Duration),
     /// A newer process runs under this node's name: this one must stop.
     Replaced,
@@ -61,15 +61,15 @@
 pub struct Counters {
     /// Messages sent.
     pub sent: u64,
-    /// Messages received and read.
+    /// Messages received and decoded.
     pub received: u64,
-    /// Datagrams that were not messages.
+    /// Datagrams that were not valid messages.
     pub garbage: u64,
-    /// Probes that had no direct answer in time.
+    /// Probes that were not acknowledged directly in time, so that helpers were requested to probe.
     pub indirect_probes: u64,
     /// Suspicions that this node raised.
     pub suspicions: u64,
-    /// Deaths that this node declared itself.
+    /// Deaths that this node itself declared.
     pub deaths_declared: u64,
     /// Times this node refuted a claim about itself.
     pub refutations: u64,
@@ -77,9 +77,9 @@
     pub sync_requests: u64,
     /// Sync pages sent.
     pub sync_pages: u64,
-    /// Sync requests not answered because of the limit of pages a second.
+    /// Sync requests refused because of the limit of pages per second.
     pub sync_refused: u64,
-    /// Members not taken because the table is full.
+    /// Members not added because the table was full.
     pub members_refused: u64,
     /// Pauses of this process.
     pub pauses: u64,
--- a/crates/dyketally/src/membership/receive.rs
+++ b/crates/dyketally/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! What a message that arrives leads to.
+//! Handling of received messages.
 
 use std::net::SocketAddr;
 
@@ -14,8 +14,9 @@
 use super::output::Event;
 use super::sync::{fill_pages, update_of};
 
-/// Members told to a node whose sync request is refused, so that it can ask others.
-const TOLD_WHEN_REFUSED: usize = 3;
+/// Number of members listed in the answer to a refused sync request, so that the requester can turn to
+/// other nodes.
+const MEMBERS_IN_REFUSAL: usize = 3;
 
 impl Membership {
     pub(super) fn receive(&mut self, now: Timestamp, from: SocketAddr, message: Message) {
@@ -24,17 +25,17 @@
             body,
             updates,
         } = message;
-        self.note_sender(now, &header);
+        self.record_sender(now, &header);
         if header.sender == self.own {
             return;
         }
         let is_page = matches!(body, Body::SyncPage { .. });
         self.apply_all(now, updates, is_page);
-        self.answer(now, from, &header.sender, body);
+        self.handle_body(now, from, &header.sender, body);
         self.compare_digests(now, from, &header);
     }
 
-    fn note_sender(&mut self, now: Timestamp, header: &Header) {
+    fn record_sender(&mut self, now: Timestamp, header: &Header) {
         let renewed = Update::Renewed {
             node: header.sender.clone(),
             incarnation: header.incarnation,
@@ -55,31 +56,32 @@
         }
         if self.is_of_own_region(&header.sender) {
             for contact in &header.regions {
-                self.regions.learn(contact, now);
+                self.regions.record_report(contact, now);
             }
         }
     }
 
-    /// Pages received while joining are known to all others: they are not passed on.
+    /// Applies updates. Those of a page received while joining are not passed on, because the other nodes
+    /// already know them.
     fn apply_all(&mut self, now: Timestamp, updates: Vec<Update>, is_page: bool) {
         let spread = !is_page || self.sync.joined;
         for update in updates {
             let node = update.node().clone();
             let applied = self.apply(now, update, spread);
             if is_page && applied == Applied::Outdated {
-                self.correct(now, &node);
+                self.spread_correction(now, &node);
             }
         }
     }
 
-    /// Passes on what is held about a member of whom a peer has an older view.
-    fn correct(&mut self, now: Timestamp, node: &NodeName) {
+    /// Passes on what this node knows about a member, because a peer has an older view of it.
+    fn spread_correction(&mut self, now: Timestamp, node: &NodeName) {
         if let Some(entry) = self.table.get(node) {
             self.rumors.add(now, update_of(entry));
         }
     }
 
-    fn answer(&mut self, now: Timestamp, from: SocketAddr, sender: &NodeName, body: Body) {
+    fn handle_body(&mut self, now: Timestamp, from: SocketAddr, sender: &NodeName, body: Body) {
         match body {
             Body::Ping { sequence } => self.send(now, from, Some(sender), Body::Ack { sequence }),
             Body::Ack { sequence } => self.acknowledge(now, sequence),
@@ -92,7 +94,7 @@
                 self.probes.acknowledge(sequence);
             }
             Body::SyncRequest { buckets } => self.answer_sync(now, from, sender, &buckets),
-            Body::SyncPage { more } => self.finish_page(now, from, sender, more),
+            Body::SyncPage { more } => self.handle_page_end(now, from, sender, more),
         }
     }
 
@@ -103,13 +105,13 @@
                 .get(&probe.target)
                 .map(|it| it.record.locality.region.clone());
             if let Some(region) = region {
-                self.regions.answered(&region, now);
+                self.regions.record_answer(&region, now);
             }
         } else if let Some(relayed) = self.probes.acknowledge_relayed(sequence) {
             let body = Body::IndirectAck {
                 sequence: relayed.origin_sequence,
             };
-            self.send_bare(now, relayed.origin, None, body);
+            self.send_without_rumors(now, relayed.origin, None, body);
         }
     }
 
@@ -125,7 +127,7 @@
             .probes
             .relay(origin, origin_sequence, &self.config, now);
         if let Some(sequence) = relayed {
-            self.send_bare(now, address, Some(target), Body::Ping { sequence });
+            self.send_without_rumors(now, address, Some(target), Body::Ping { sequence });
         }
     }
 
@@ -145,13 +147,13 @@
         let differing = self.table.digests().differing(buckets);
         let first = self.rng.random_range(0..BUCKETS);
         let filled = fill_pages(&self.table, &differing, first, allowed);
-        self.sync.give_back(allowed - filled.pages.len());
-        let near = self.is_of_own_region(sender);
+        self.sync.return_pages(allowed - filled.pages.len());
+        let same_region = self.is_of_own_region(sender);
         let last = filled.pages.len() - 1;
         for (number, page) in filled.pages.into_iter().enumerate() {
             let more = filled.more || number < last;
             self.counters.sync_pages += 1;
-            self.send_with(now, from, near, Body::SyncPage { more }, page);
+            self.send_with(now, from, same_region, Body::SyncPage { more }, page);
         }
     }
 
@@ -159,24 +161,31 @@
         self.counters.sync_refused += 1;
         let members = self
             .rings
-            .any(&self.table, TOLD_WHEN_REFUSED, &mut self.rng);
+            .next_live(&self.table, MEMBERS_IN_REFUSAL, &mut self.rng);
         let entries = members.iter().filter_map(|node| self.table.get(node));
         let updates = entries.map(update_of).collect();
-        let near = self.is_of_own_region(sender);
-        self.send_with(now, from, near, Body::SyncPage { more: true }, updates);
+        let same_region = self.is_of_own_region(sender);
+        self.send_with(
+            now,
+            from,
+            same_region,
+            Body::SyncPage { more: true },
+            updates,
+        );
     }
 
-    fn finish_page(&mut self, now: Timestamp, from: SocketAddr, sender: &NodeName, more: bool) {
+    fn handle_page_end(&mut self, now: Timestamp, from: SocketAddr, sender: &NodeName, more: bool) {
         if !more {
-            self.note_joined(now);
+            self.mark_joined(now);
         } else if !self.sync.joined {
             self.request_sync(now, from, sender);
         }
     }
 
-    /// The table of another node has been received whole. This node tells of itself once more,
-    /// now that it knows how many have to hear it.
-    fn note_joined(&mut self, now: Timestamp) {
+    /// Records that the table of another node has been received in full. This node then announces itself
+    /// again, because how often an update is sent depends on the number of members, which is known only
+    /// now.
+    fn mark_joined(&mut self, now: Timestamp) {
         if self.sync.joined || self.table.live() < 2 {
             return;
         }
@@ -188,7 +197,7 @@
 
     fn compare_digests(&mut self, now: Timestamp, from: SocketAddr, header: &Header) {
         if header.digest == self.digest() {
-            self.note_joined(now);
+            self.mark_joined(now);
         } else {
             self.request_sync(now, from, &header.sender);
         }
--- a/crates/dyketally/src/membership/regions.rs
+++ b/crates/dyketally/src/membership/regions.rs
@@ -1,4 +1,4 @@
-//! Which other regions answer nodes of this region.
+//! Reachability of other regions: when each last answered a node of this region.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use super::message::RegionContact;
 
-/// Added to an age learned from another node, so that no value stays young by going round.
+/// Added to an age that another node reports, so that no age stays low while it circulates among nodes.
 const HOP_PENALTY: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
@@ -24,14 +24,14 @@
     pub(super) reachable: bool,
 }
 
-/// The other regions.
+/// When each other region last answered, and whether it counts as reachable.
 #[derive(Debug, Default)]
 pub(super) struct Regions {
     contacts: BTreeMap<RegionName, Contact>,
 }
 
 impl Regions {
-    /// A member of `region` is known.
+    /// Adds `region`, of which a member is known.
     pub(super) fn add(&mut self, region: &RegionName, now: Timestamp) {
         if self.contacts.contains_key(region) {
             return;
@@ -43,26 +43,26 @@
         self.contacts.insert(region.clone(), contact);
     }
 
-    /// A member of `region` has answered this node.
-    pub(super) fn answered(&mut self, region: &RegionName, now: Timestamp) {
+    /// Records that a member of `region` answered at `now`.
+    pub(super) fn record_answer(&mut self, region: &RegionName, now: Timestamp) {
         if let Some(contact) = self.contacts.get_mut(region) {
             contact.last_answer = contact.last_answer.max(now);
         }
     }
 
-    /// Another node of this region told when it or others last had an answer.
-    pub(super) fn learn(&mut self, told: &RegionContact, now: Timestamp) {
-        let age = Duration::from_millis(told.age_millis.into());
-        self.answered(&told.region, now - age - HOP_PENALTY);
+    /// Records when, by the report of another node of this region, another region last answered.
+    pub(super) fn record_report(&mut self, report: &RegionContact, now: Timestamp) {
+        let age = Duration::from_millis(report.age_millis.into());
+        self.record_answer(&report.region, now - age - HOP_PENALTY);
     }
 
-    /// What this node tells others of its region.
-    pub(super) fn tell(&self, now: Timestamp) -> Vec<RegionContact> {
-        let tell_one = |(region, contact): (&RegionName, &Contact)| RegionContact {
+    /// What this node reports to other nodes of its region.
+    pub(super) fn reports(&self, now: Timestamp) -> Vec<RegionContact> {
+        let report_one = |(region, contact): (&RegionName, &Contact)| RegionContact {
             region: region.clone(),
             age_millis: millis(now.saturating_since(contact.last_answer)),
         };
-        self.contacts.iter().map(tell_one).collect()
+        self.contacts.iter().map(report_one).collect()
     }
 
     /// True unless `region` is a known other region that does not answer.
@@ -72,7 +72,7 @@
             .is_none_or(|contact| contact.reachable)
     }
 
-    /// Decides anew which regions are reachable.
+    /// Updates which regions are reachable; gives those that changed.
     pub(super) fn evaluate(&mut self, timeout: Duration, now: Timestamp) -> Vec<Change> {
         let mut changes = Vec::new();
         for (region, contact) in &mut self.contacts {
@@ -93,7 +93,7 @@
             .is_some_and(|contact| now.saturating_since(contact.last_answer) > limit)
     }
 
-    /// Gives all regions `pause` more time.
+    /// Gives all regions `pause` more time to answer.
     pub(super) fn extend(&mut self, pause: Duration, now: Timestamp) {
         for contact in self.contacts.values_mut() {
             contact.last_answer = (contact.last_answer + pause).min(now);
--- a/crates/dyketally/src/membership/rings.rs
+++ b/crates/dyketally/src/membership/rings.rs
@@ -1,4 +1,4 @@
-//! The order in which members are probed: each member of a ring once before any of them twice.
+//! The order in which members are probed: each member of a ring is probed once before any of them twice.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,34 +9,35 @@
 
 use super::table::{Entry, Status, Table};
 
-/// Chance of a probe within the region to stay within the zone, where both are possible.
+/// Chance that a probe within the region goes to the own zone, if the region also has members in other
+/// zones.
 const OWN_ZONE_SHARE: f64 = 4.0 / 7.0;
 
-/// Least and greatest chance of a probe to go to another region.
+/// Least and greatest chance that a probe goes to another region.
 const LEAST_CROSS_REGION_SHARE: f64 = 1.0 / 8.0;
 const GREATEST_CROSS_REGION_SHARE: f64 = 1.0 / 2.0;
 
-/// Probes to each other region that a region as a whole makes in one interval, where the shares
-/// above allow.
+/// Number of probes that all nodes of a region together send to each other region in one probe interval,
+/// within the least and greatest share.
 const CROSS_REGION_PROBES: f64 = 2.0;
 
-/// Nodes of the region that probe a suspected member out of turn, on average.
+/// Average number of nodes of the region that probe a suspected member out of turn.
 const CONFIRMING_PROBES: f64 = 6.0;
 
-/// What a ring holds.
+/// The members that a ring holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Scope {
     OwnZone,
     OwnRegion,
     Region(RegionName),
     Dead,
-    Any,
+    Live,
 }
 
 /// A shuffled sequence of members that is refilled when it runs out.
 #[derive(Debug, Default)]
 struct Ring {
-    left: VecDeque<NodeName>,
+    remaining: VecDeque<NodeName>,
 }
 
 /// All rings of one node.
@@ -48,11 +49,11 @@
     region: Ring,
     helpers: Ring,
     dead: Ring,
-    any: Ring,
+    live: Ring,
     /// Suspected members to probe out of turn.
     suspects: VecDeque<NodeName>,
-    /// The last probe was out of turn; the next one is not.
-    out_of_turn: bool,
+    /// The last probe was allowed to be out of turn; the next one is not.
+    last_out_of_turn: bool,
     others: BTreeMap<RegionName, Ring>,
     last_region: Option<RegionName>,
 }
@@ -66,15 +67,15 @@
             region: Ring::default(),
             helpers: Ring::default(),
             dead: Ring::default(),
-            any: Ring::default(),
+            live: Ring::default(),
             suspects: VecDeque::new(),
-            out_of_turn: false,
+            last_out_of_turn: false,
             others: BTreeMap::new(),
             last_region: None,
         }
     }
 
-    /// Puts a member that became live at a random place of the ring it belongs to.
+    /// Inserts a member that became live at a random position of the ring to which it belongs.
     pub(super) fn insert(&mut self, node: &NodeName, locality: &Locality, rng: &mut impl Rng) {
         let ring = if locality == &self.locality {
             &mut self.zone
@@ -83,8 +84,8 @@
         } else {
             self.others.entry(locality.region.clone()).or_default()
         };
-        let place = rng.random_range(0..=ring.left.len());
-        ring.left.insert(place, node.clone());
+        let position = rng.random_range(0..=ring.remaining.len());
+        ring.remaining.insert(position, node.clone());
     }
 
     /// The member to probe next.
@@ -106,19 +107,20 @@
         own.or_else(|| self.next_of_other_region(table, rng))
     }
 
-    /// A member of this region was suspected by another node. A few nodes, drawn at random, probe
-    /// it out of turn, so that it is either confirmed dead soon or known to be reachable.
-    pub(super) fn suspect(&mut self, node: &NodeName, region_size: usize, rng: &mut impl Rng) {
+    /// Handles the suspicion of a member of this region by another node. A few nodes, selected at random,
+    /// probe the member out of turn, so that it is soon either confirmed dead or known to be reachable.
+    pub(super) fn add_suspect(&mut self, node: &NodeName, region_size: usize, rng: &mut impl Rng) {
         let share = CONFIRMING_PROBES / region_size.max(1) as f64;
         if rng.random_bool(share.min(1.0)) {
             self.suspects.push_back(node.clone());
         }
     }
 
-    /// Every other probe may be out of turn, so that a wave of suspicions hides no other death.
+    /// The next suspected member to probe out of turn. Only every other probe may be out of turn, so that
+    /// many suspicions at once do not keep other deaths from being detected.
     fn next_suspect(&mut self, table: &Table) -> Option<NodeName> {
-        self.out_of_turn = !self.out_of_turn;
-        if !self.out_of_turn {
+        self.last_out_of_turn = !self.last_out_of_turn;
+        if !self.last_out_of_turn {
             return None;
         }
         let is_open = |node: &NodeName| {
@@ -142,7 +144,7 @@
         rng: &mut impl Rng,
     ) -> Vec<NodeName> {
         let mut chosen: Vec<NodeName> = Vec::new();
-        // One more than needed, since the target itself may be drawn.
+        // One more than needed, because the target itself may be selected.
         for _ in 0..=count {
             let filter = self.filter(Scope::OwnRegion);
             let Some(helper) = self.helpers.next(table, filter, rng) else {
@@ -156,17 +158,22 @@
         chosen
     }
 
-    /// A member that is held dead.
+    /// A member that was declared dead.
     pub(super) fn next_dead(&mut self, table: &Table, rng: &mut impl Rng) -> Option<NodeName> {
         let filter = self.filter(Scope::Dead);
         self.dead.next(table, filter, rng)
     }
 
     /// Up to `count` live members of any region.
-    pub(super) fn any(&mut self, table: &Table, count: usize, rng: &mut impl Rng) -> Vec<NodeName> {
-        let filter = self.filter(Scope::Any);
-        let draw = (0..count).map_while(|_| self.any.next(table, &filter, rng));
-        draw.collect()
+    pub(super) fn next_live(
+        &mut self,
+        table: &Table,
+        count: usize,
+        rng: &mut impl Rng,
+    ) -> Vec<NodeName> {
+        let filter = self.filter(Scope::Live);
+        let members = (0..count).map_while(|_| self.live.next(table, &filter, rng));
+        members.collect()
     }
 
     fn next_of_own_region(&mut self, table: &Table, rng: &mut impl Rng) -> Option<NodeName> {
@@ -183,7 +190,7 @@
         self.zone.next(table, filter, rng)
     }
 
-    /// A member of the region; mostly of its other zones, as the ring's insertions are.
+    /// A member of another zone of the region.
     fn next_of_region(&mut self, table: &Table, rng: &mut impl Rng) -> Option<NodeName> {
         let zone = self.locality.zone.clone();
         let in_region = self.filter(Scope::OwnRegion);
@@ -191,10 +198,10 @@
         self.region.next(table, filter, rng)
     }
 
-    /// The regions take turns.
+    /// A member of another region; the regions take turns.
     fn next_of_other_region(&mut self, table: &Table, rng: &mut impl Rng) -> Option<NodeName> {
         for _ in 0..self.others.len() {
-            let region = self.turn()?;
+            let region = self.next_region_in_turn()?;
             let filter = self.filter(Scope::Region(region.clone()));
             let ring = self.others.get_mut(&region)?;
             if let Some(node) = ring.next(table, filter, rng) {
@@ -204,7 +211,7 @@
         None
     }
 
-    fn turn(&mut self) -> Option<RegionName> {
+    fn next_region_in_turn(&mut self) -> Option<RegionName> {
         let after_last = self.last_region.as_ref().and_then(|last| {
             let mut regions = self.others.keys();
             regions.find(|region| *region > last)
@@ -233,7 +240,7 @@
                 Scope::OwnRegion => live && record.locality.region == locality.region,
                 Scope::Region(region) => live && record.locality.region == *region,
                 Scope::Dead => entry.status == Status::Dead,
-                Scope::Any => live,
+                Scope::Live => live,
             }
         }
     }
@@ -247,19 +254,19 @@
         rng: &mut impl Rng,
     ) -> Option<NodeName> {
         let known = |node: &NodeName| table.get(node).is_some_and(&belongs);
-        while let Some(node) = self.left.pop_front() {
+        while let Some(node) = self.remaining.pop_front() {
             if known(&node) {
                 return Some(node);
             }
         }
         self.refill(table, belongs, rng);
-        self.left.pop_front()
+        self.remaining.pop_front()
     }
 
     fn refill(&mut self, table: &Table, belongs: impl Fn(&Entry) -> bool, rng: &mut impl Rng) {
         let members = table.iter().filter(|entry| belongs(entry));
         let mut order: Vec<_> = members.map(|entry| entry.record.node.clone()).collect();
         order.shuffle(rng);
-        self.left = order.into();
+        self.remaining = order.into();
     }
 }
--- a/crates/dyketally/src/membership/schedule.rs
+++ b/crates/dyketally/src/membership/schedule.rs
@@ -1,4 +1,4 @@
-//! What is done as time passes.
+//! Periodic actions: probes, suspicions, deaths, joining and removal of old members.
 
 use std::time::Duration;
 
@@ -19,23 +19,24 @@
 /// Time between two attempts to join.
 const JOIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two looks for contacts that are not members: the other half of a split fleet.
-const CONTACT_INTERVAL: Duration = Duration::from_secs(30);
+/// Time between two pings to join addresses of nodes that are not members, which may be the other part of
+/// a split fleet.
+const JOIN_ADDRESS_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Time between two searches for members to forget.
+/// Time between two searches for members to remove from the table.
 const FORGET_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Chance that a joining node that knows members still turns to a contact.
-const CONTACT_SHARE: f64 = 0.25;
+/// Chance that a joining node that knows members still sends its sync request to a join address.
+const JOIN_ADDRESS_SHARE: f64 = 0.25;
 
-/// When things are due.
+/// When each periodic action is due.
 #[derive(Debug)]
 pub(super) struct Schedule {
     started: Timestamp,
     last_call: Timestamp,
-    may_tell_at: Timestamp,
+    may_notify_at: Timestamp,
     next_probe: Timestamp,
-    next_contact: Timestamp,
+    next_join: Timestamp,
     next_heal: Timestamp,
     next_forget: Timestamp,
 }
@@ -45,28 +46,28 @@
         Self {
             started: now,
             last_call: now,
-            may_tell_at: now,
+            may_notify_at: now,
             next_probe: now,
-            next_contact: now,
+            next_join: now,
             next_heal: now + config.heal_interval,
             next_forget: now + FORGET_INTERVAL,
         }
     }
 
-    /// Notes the time of a call; gives the time since the last one.
+    /// Records the time of a call; gives the time since the last one.
     pub(super) fn advance(&mut self, now: Timestamp) -> Duration {
         let gap = now.saturating_since(self.last_call);
         self.last_call = self.last_call.max(now);
         gap
     }
 
-    /// True when members may be told something at once; not again within `interval`.
-    pub(super) fn may_tell(&mut self, interval: Duration, now: Timestamp) -> bool {
-        let may_tell = self.may_tell_at <= now;
-        if may_tell {
-            self.may_tell_at = now + interval;
+    /// True when members may be notified at once; then false for the next `interval`.
+    pub(super) fn may_notify(&mut self, interval: Duration, now: Timestamp) -> bool {
+        let may_notify = self.may_notify_at <= now;
+        if may_notify {
+            self.may_notify_at = now + interval;
         }
-        may_tell
+        may_notify
     }
 
     /// Time since the start of this node.
@@ -75,7 +76,7 @@
     }
 
     pub(super) fn next_deadline(&self) -> Timestamp {
-        self.next_probe.min(self.next_contact).min(self.next_heal)
+        self.next_probe.min(self.next_join).min(self.next_heal)
     }
 }
 
@@ -96,7 +97,7 @@
         self.evaluate_regions(now);
         self.probe_if_due(now);
         self.heal_if_due(now);
-        self.contact_if_due(now);
+        self.join_if_due(now);
         self.forget_if_due(now);
     }
 
@@ -117,7 +118,7 @@
                     address,
                 };
                 if let Some(to) = self.address_of(&helper) {
-                    self.send_bare(now, to, Some(&helper), body);
+                    self.send_without_rumors(now, to, Some(&helper), body);
                 }
             }
         }
@@ -130,7 +131,7 @@
             ..
         } in self.probes.take_failed(now)
         {
-            // A newer incarnation was heard of in the meantime, or it is dead already.
+            // No suspicion is raised if a newer incarnation is known by now, or the target is dead.
             let unchanged = self.table.get(&target).is_some_and(|entry| {
                 entry.status.is_live() && entry.record.incarnation == incarnation
             });
@@ -149,8 +150,8 @@
     }
 
     fn declare_deaths(&mut self, now: Timestamp) {
-        let judges = self.other_judges();
-        for (node, incarnation) in self.suspicions.expired(&self.config, judges, now) {
+        let confirmers = self.possible_confirmers();
+        for (node, incarnation) in self.suspicions.expired(&self.config, confirmers, now) {
             self.suspicions.close(&node);
             if self.apply(now, Update::Died { node, incarnation }, true) == Applied::New {
                 self.counters.deaths_declared += 1;
@@ -206,59 +207,55 @@
         self.send(now, to, Some(&target), Body::Ping { sequence });
     }
 
-    fn contact_if_due(&mut self, now: Timestamp) {
+    fn join_if_due(&mut self, now: Timestamp) {
         let settled = self.sync.joined && self.table.live() > 1;
         let interval = if settled {
-            CONTACT_INTERVAL
+            JOIN_ADDRESS_INTERVAL
         } else {
             JOIN_INTERVAL
         };
-        if !take_due(
-            &mut self.schedule.next_contact,
-            interval,
-            now,
-            &mut self.rng,
-        ) {
+        if !take_due(&mut self.schedule.next_join, interval, now, &mut self.rng) {
             return;
         }
         if settled {
-            self.look_for_strangers(now);
+            self.probe_unknown_join_address(now);
         } else {
             self.try_to_join(now);
         }
     }
 
     fn try_to_join(&mut self, now: Timestamp) {
-        let from_contacts = self.rng.random_bool(CONTACT_SHARE);
-        let member = if from_contacts && !self.contacts.is_empty() {
+        let from_join_addresses = self.rng.random_bool(JOIN_ADDRESS_SHARE);
+        let member = if from_join_addresses && !self.join_addresses.is_empty() {
             None
         } else {
-            let members = self.rings.any(&self.table, 1, &mut self.rng);
+            let members = self.rings.next_live(&self.table, 1, &mut self.rng);
             members.into_iter().next()
         };
         let address = match &member {
             Some(member) => self.address_of(member),
-            None => self.contacts.choose(&mut self.rng).copied(),
+            None => self.join_addresses.choose(&mut self.rng).copied(),
         };
         if let Some(to) = address {
             self.send_sync_request(now, to, member.as_ref());
         }
     }
 
-    /// Two parts of a fleet that forgot each other find together again by their contacts.
-    fn look_for_strangers(&mut self, now: Timestamp) {
-        let Some(contact) = self.contacts.choose(&mut self.rng).copied() else {
+    /// Pings a join address of no live member. By this, two parts of a fleet that have removed each other
+    /// from their tables find each other again.
+    fn probe_unknown_join_address(&mut self, now: Timestamp) {
+        let Some(address) = self.join_addresses.choose(&mut self.rng).copied() else {
             return;
         };
         let is_known = self
             .table
             .iter()
-            .any(|entry| entry.status.is_live() && entry.record.addresses.membership == contact);
+            .any(|entry| entry.status.is_live() && entry.record.addresses.membership == address);
         if is_known {
             return;
         }
         let sequence = self.probes.next_sequence();
-        self.send(now, contact, None, Body::Ping { sequence });
+        self.send(now, address, None, Body::Ping { sequence });
     }
 
     fn forget_if_due(&mut self, now: Timestamp) {
@@ -267,7 +264,7 @@
             return;
         }
         let limit = self.config.forget_after;
-        let is_over = |entry: &&super::table::Entry| {
+        let is_expired = |entry: &&super::table::Entry| {
             let old = now.saturating_since(entry.since) > limit;
             let region = &entry.record.locality.region;
             match entry.status {
@@ -275,13 +272,13 @@
                 Status::Alive | Status::Suspect => self.regions.silent_for(region, limit, now),
             }
         };
-        let over: Vec<NodeName> = self
+        let expired: Vec<NodeName> = self
             .table
             .iter()
-            .filter(is_over)
+            .filter(is_expired)
             .map(|entry| entry.record.node.clone())
             .collect();
-        for node in over {
+        for node in expired {
             self.suspicions.close(&node);
             self.table.remove(&node);
             self.state_version += 1;
--- a/crates/dyketally/src/membership/send.rs
+++ b/crates/dyketally/src/membership/send.rs
@@ -1,4 +1,4 @@
-//! What a node sends: messages with as many updates as fit, and what it announces at once.
+//! Sending of messages with as many updates as fit, and of immediate announcements.
 
 use std::net::SocketAddr;
 
@@ -10,8 +10,8 @@
 use super::output::Output;
 use super::table::Status;
 
-/// Members that a node informs at once when it leaves.
-pub(super) const TOLD_WHEN_LEAVING: usize = 6;
+/// Number of members that a node notifies at once when it leaves.
+pub(super) const NOTIFIED_WHEN_LEAVING: usize = 6;
 
 impl Membership {
     /// Sends `body` to `peer` with as many updates as fit.
@@ -22,27 +22,27 @@
         peer: Option<&NodeName>,
         body: Body,
     ) {
-        let near = peer.is_some_and(|peer| self.is_of_own_region(peer));
+        let same_region = peer.is_some_and(|peer| self.is_of_own_region(peer));
         let mut updates =
             self.rumors
                 .take(now, self.config.update_bytes, self.table.live(), |update| {
-                    near || !matches!(update, Update::Suspected { .. })
+                    same_region || !matches!(update, Update::Suspected { .. })
                 });
         updates.extend(peer.and_then(|peer| self.claim_about(peer)));
-        self.send_with(now, to, near, body, updates);
+        self.send_with(now, to, same_region, body, updates);
     }
 
-    /// Sends `body` with nothing but what the peer must know about itself.
-    pub(super) fn send_bare(
+    /// Sends `body` with no update but this node's claim about the peer, if there is one.
+    pub(super) fn send_without_rumors(
         &mut self,
         now: Timestamp,
         to: SocketAddr,
         peer: Option<&NodeName>,
         body: Body,
     ) {
-        let near = peer.is_some_and(|peer| self.is_of_own_region(peer));
+        let same_region = peer.is_some_and(|peer| self.is_of_own_region(peer));
         let claim = peer.and_then(|peer| self.claim_about(peer));
-        self.send_with(now, to, near, body, claim.into_iter().collect());
+        self.send_with(now, to, same_region, body, claim.into_iter().collect());
     }
 
     /// Sends `body` with exactly these updates.
@@ -50,12 +50,12 @@
         &mut self,
         now: Timestamp,
         to: SocketAddr,
-        near: bool,
+        same_region: bool,
         body: Body,
         updates: Vec<Update>,
     ) {
         let message = Message {
-            header: self.header(now, near),
+            header: self.header(now, same_region),
             body,
             updates,
         };
@@ -66,7 +66,7 @@
         });
     }
 
-    fn header(&self, now: Timestamp, near: bool) -> Header {
+    fn header(&self, now: Timestamp, same_region: bool) -> Header {
         let own = self.own_entry();
         Header {
             sender: self.own.clone(),
@@ -74,15 +74,16 @@
             leaving: own.is_some_and(|entry| entry.record.leaving),
             revision: self.revision,
             digest: self.digest(),
-            regions: if near {
-                self.regions.tell(now)
+            regions: if same_region {
+                self.regions.reports(now)
             } else {
                 Vec::new()
             },
         }
     }
 
-    /// What a peer must know about itself to refute it.
+    /// The claim of this node that a peer is suspected or dead or has left; the peer has to receive it to
+    /// refute it.
     fn claim_about(&self, peer: &NodeName) -> Option<Update> {
         let entry = self.table.get(peer)?;
         let (node, incarnation) = (peer.clone(), entry.record.incarnation);
@@ -98,7 +99,7 @@
         }
     }
 
-    pub(super) fn tell_left(&mut self, now: Timestamp) {
+    pub(super) fn announce_left(&mut self, now: Timestamp) {
         let Some(record) = self.own_entry().map(|entry| entry.record.clone()) else {
             return;
         };
@@ -109,14 +110,14 @@
                 incarnation: record.incarnation,
             },
         );
-        self.tell_some(now, TOLD_WHEN_LEAVING);
+        self.notify_some(now, NOTIFIED_WHEN_LEAVING);
         self.table.put(record, Status::Left, now);
         self.state_version += 1;
         self.phase = Phase::Left;
     }
 
-    /// Passes on what is new to a few members at once, without waiting for the next probes.
-    pub(super) fn tell_some(&mut self, now: Timestamp, count: usize) {
+    /// Pings `count` members at once, so that new updates reach them before the next probes.
+    pub(super) fn notify_some(&mut self, now: Timestamp, count: usize) {
         for _ in 0..count {
             let size = self.region_size();
             let Some(peer) = self.rings.next_probe(&self.table, size, &mut self.rng) else {
--- a/crates/dyketally/src/membership/suspicion.rs
+++ b/crates/dyketally/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Members that did not answer, and when they are declared dead.
+//! Suspicions of members that did not answer, and when such members are declared dead.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,14 +16,14 @@
     accusers: BTreeSet<NodeName>,
 }
 
-/// The suspicions that are open.
+/// The open suspicions, by suspected member.
 #[derive(Debug, Default)]
 pub(super) struct Suspicions {
     open: BTreeMap<NodeName, Suspicion>,
 }
 
 impl Suspicions {
-    /// Opens a suspicion of `node`, in place of one about an older incarnation.
+    /// Opens a suspicion of `node`; it replaces one about an older incarnation.
     pub(super) fn open(
         &mut self,
         node: &NodeName,
@@ -39,7 +39,7 @@
         self.open.insert(node.clone(), suspicion);
     }
 
-    /// Adds an accuser; true when it is new and still shortens the time.
+    /// Adds an accuser; true when it is new and brings the death forward.
     pub(super) fn confirm(&mut self, node: &NodeName, by: &NodeName, confirmations: usize) -> bool {
         let Some(suspicion) = self.open.get_mut(node) else {
             return false;
@@ -52,31 +52,35 @@
         self.open.remove(node);
     }
 
-    /// The members whose time is over, with the incarnation that was suspected.
+    /// The members whose time to refute has passed, with the incarnation that was suspected.
     pub(super) fn expired(
         &self,
         config: &Config,
-        other_judges: usize,
+        possible_confirmers: usize,
         now: Timestamp,
     ) -> Vec<(NodeName, Incarnation)> {
-        let over = |(_, suspicion): &(&NodeName, &Suspicion)| {
-            suspicion.deadline(config, other_judges) <= now
+        let is_expired = |(_, suspicion): &(&NodeName, &Suspicion)| {
+            suspicion.deadline(config, possible_confirmers) <= now
         };
-        let expired = self.open.iter().filter(over);
+        let expired = self.open.iter().filter(is_expired);
         expired
             .map(|(node, suspicion)| (node.clone(), suspicion.incarnation))
             .collect()
     }
 
-    /// When the next member's time is over.
-    pub(super) fn next_deadline(&self, config: &Config, other_judges: usize) -> Option<Timestamp> {
+    /// When the next suspicion expires.
+    pub(super) fn next_deadline(
+        &self,
+        config: &Config,
+        possible_confirmers: usize,
+    ) -> Option<Timestamp> {
         let deadlines = self.open.values();
         deadlines
-            .map(|suspicion| suspicion.deadline(config, other_judges))
+            .map(|suspicion| suspicion.deadline(config, possible_confirmers))
             .min()
     }
 
-    /// Gives all suspected members `pause` more time.
+    /// Gives all suspected members `pause` more time to refute.
     pub(super) fn extend(&mut self, pause: Duration) {
         for suspicion in self.open.values_mut() {
             suspicion.began = suspicion.began + pause;
@@ -85,9 +89,10 @@
 }
 
 impl Suspicion {
-    /// The more nodes suspect independently, the sooner; `other_judges` is how many could.
-    fn deadline(&self, config: &Config, other_judges: usize) -> Timestamp {
-        let needed = config.confirmations.min(other_judges);
+    /// When the member is declared dead. The more nodes suspect it independently, the sooner;
+    /// `possible_confirmers` is the number of nodes that could confirm the first suspicion.
+    fn deadline(&self, config: &Config, possible_confirmers: usize) -> Timestamp {
+        let needed = config.confirmations.min(possible_confirmers);
         if needed == 0 {
             return self.began + config.shortest_suspicion;
         }
--- a/crates/dyketally/src/membership/sync.rs
+++ b/crates/dyketally/src/membership/sync.rs
@@ -1,4 +1,5 @@
-//! Exchange of the entries in which two member tables differ: pages and their pace.
+//! Exchange of the entries in which two member tables differ: filling of pages, and how often they are
+//! requested and sent.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 /// Bytes of updates on one page; the rest of the datagram is for the header.
 const PAGE_BYTES: usize = 1_000;
 
-/// Pages in one answer at most.
+/// Most pages in one answer.
 const PAGES_PER_ANSWER: usize = 4;
 
 /// Time between two requests of a node that is joining.
@@ -20,20 +21,21 @@
 /// Least time between two requests of a node that has joined.
 const REQUEST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// For this long after the start a node asks at this interval whether or not updates are on their
-/// way: in a fleet that starts at once, whom it joined through knew little.
+/// For [`SETTLING_TIME`] after its start, a node sends a request every [`SETTLING_INTERVAL`] while tables
+/// differ, even if updates are arriving: in a fleet that starts all at once, the node through which it
+/// joined knew few members.
 const SETTLING_TIME: Duration = Duration::from_secs(30);
 const SETTLING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Updates on their way make tables differ for a while: a node asks once nothing has changed for
-/// this long, or when it has not asked for [`LONGEST_WAIT`].
+/// Tables differ for a while until an update has reached all nodes. A node therefore sends a request only
+/// once its table has not changed for [`QUIET_TIME`], or once its last request is [`MAX_WAIT`] old.
 const QUIET_TIME: Duration = Duration::from_secs(3);
-const LONGEST_WAIT: Duration = Duration::from_secs(6);
+const MAX_WAIT: Duration = Duration::from_secs(6);
 
-/// When to ask and how much to answer.
+/// Decides when pages may be requested and how many may be sent.
 #[derive(Debug)]
 pub(super) struct SyncPace {
-    /// The whole table has been received once.
+    /// The table of another node has been received in full.
     pub(super) joined: bool,
     started: Timestamp,
     last_request: Timestamp,
@@ -54,13 +56,13 @@
         }
     }
 
-    /// The member table has changed.
-    pub(super) fn changed(&mut self, now: Timestamp) {
+    /// Records a change of the member table.
+    pub(super) fn record_change(&mut self, now: Timestamp) {
         self.last_change = now;
     }
 
-    /// The table is out of date as a whole: ask as a joining node does.
-    pub(super) fn start_over(&mut self) {
+    /// Makes this node send requests as a joining node does, because its whole table may be out of date.
+    pub(super) fn restart_join(&mut self) {
         self.joined = false;
     }
 
@@ -74,7 +76,7 @@
         } else if is_settling {
             since_request >= SETTLING_INTERVAL
         } else {
-            let quiet = since_change >= QUIET_TIME || since_request >= LONGEST_WAIT;
+            let quiet = since_change >= QUIET_TIME || since_request >= MAX_WAIT;
             since_request >= REQUEST_INTERVAL && quiet
         };
         if due {
@@ -94,8 +96,8 @@
         pages
     }
 
-    /// Gives back pages that were taken and not needed.
-    pub(super) fn give_back(&mut self, pages: usize) {
+    /// Returns pages that were taken but not sent.
+    pub(super) fn return_pages(&mut self, pages: usize) {
         self.allowance += pages as f64;
     }
 }
@@ -104,7 +106,7 @@
 #[derive(Debug)]
 pub(super) struct Pages {
     pub(super) pages: Vec<Vec<Update>>,
-    /// Not all fitted.
+    /// True when not all entries fitted.
     pub(super) more: bool,
 }
 
@@ -122,18 +124,18 @@
         .collect();
     entries.sort_by_key(|(bucket, _)| (bucket + BUCKETS - first_bucket) % BUCKETS);
     let mut pages = vec![Vec::new()];
-    let mut left = PAGE_BYTES;
+    let mut remaining = PAGE_BYTES;
     for (_, entry) in entries {
         let update = update_of(entry);
         let size = update.encoded_size();
-        if size > left {
+        if size > remaining {
             if pages.len() == most {
                 return Pages { pages, more: true };
             }
             pages.push(Vec::new());
-            left = PAGE_BYTES;
+            remaining = PAGE_BYTES;
         }
-        left = left.saturating_sub(size);
+        remaining = remaining.saturating_sub(size);
         if let Some(page) = pages.last_mut() {
             page.push(update);
         }
@@ -141,7 +143,8 @@
     Pages { pages, more: false }
 }
 
-/// What is held about a member, as an update. A suspicion is left out: it runs its own course.
+/// The entry of a member as an update. A suspected member is given as alive, because suspicions are passed
+/// on separately.
 pub(super) fn update_of(entry: &Entry) -> Update {
     let node = entry.record.node.clone();
     let incarnation = entry.record.incarnation;
--- a/crates/dyketally/src/membership/table.rs
+++ b/crates/dyketally/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of members, with digests kept in step.
+//! The table of members, with digests and counts that follow each change.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use super::digest::Digests;
 use super::member::Record;
 
-/// What is held about a member at one incarnation. A later variant overrides an earlier one.
+/// Status of a member at one incarnation. A later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Status {
     Alive,
@@ -31,11 +31,11 @@
     pub(super) status: Status,
     /// When the status last changed.
     pub(super) since: Timestamp,
-    /// Revision of its configuration when last heard directly.
+    /// Its configuration revision in the last message received directly from it.
     pub(super) revision: Revision,
 }
 
-/// All members, this node among them.
+/// All members, including this node.
 #[derive(Debug)]
 pub(super) struct Table {
     entries: BTreeMap<NodeName, Entry>,
@@ -68,27 +68,27 @@
         &self.digests
     }
 
-    /// Members that are alive or suspected, this node among them.
+    /// Number of members that are alive or suspected, including this node.
     pub(super) fn live(&self) -> usize {
         self.live
     }
 
-    /// Members of `region` that are alive or suspected.
+    /// Number of members of `region` that are alive or suspected.
     pub(super) fn live_in(&self, region: &RegionName) -> usize {
         self.live_by_region.get(region).copied().unwrap_or(0)
     }
 
-    /// Members that are held dead.
+    /// Number of members that were declared dead.
     pub(super) fn dead(&self) -> usize {
         self.dead
     }
 
-    /// All members.
+    /// Number of all members, whatever their status.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Stores a member's record and status, keeping the revision of one already known.
+    /// Stores a member's record and status; a known member keeps its revision.
     pub(super) fn put(&mut self, record: Record, status: Status, now: Timestamp) {
         let revision = match self.remove(&record.node.clone()) {
             Some(old) => old.revision,
@@ -114,7 +114,7 @@
         changed
     }
 
-    /// Forgets a member.
+    /// Removes a member.
     pub(super) fn remove(&mut self, node: &NodeName) -> Option<Entry> {
         let entry = self.entries.remove(node)?;
         self.count(&entry.record, entry.status, false);
@@ -126,15 +126,15 @@
             Status::Alive | Status::Suspect => {
                 let region = record.locality.region.clone();
                 self.digests.toggle(record);
-                step(&mut self.live, added);
-                step(self.live_by_region.entry(region).or_default(), added);
+                adjust(&mut self.live, added);
+                adjust(self.live_by_region.entry(region).or_default(), added);
             }
-            Status::Dead => step(&mut self.dead, added),
+            Status::Dead => adjust(&mut self.dead, added),
             Status::Left => {}
         }
     }
 }
 
-fn step(counter: &mut usize, up: bool) {
+fn adjust(counter: &mut usize, up: bool) {
     *counter = if up { *counter + 1 } else { *counter - 1 };
 }
