--- a/crates/dyketally/src/delta.rs
+++ b/crates/dyketally/src/delta.rs
@@ -46,8 +46,8 @@
         Some(Self { parts: parts.done })
     }
 
-    /// The newer version; `None` if `old` lacks a range that the delta refers to. Any other document of
-    /// sufficient length gives a wrong result, so callers must pass the version the delta was made for.
+    /// The newer version; `None` if `old` lacks a range that the delta refers to. Another document than the
+    /// one that the delta was made for is detected only by that, and may otherwise give a wrong result.
     pub fn apply(&self, old: &[u8]) -> Option<Vec<u8>> {
         let mut new = Vec::new();
         for part in &self.parts {
--- a/crates/dyketally/src/freshness/lag.rs
+++ b/crates/dyketally/src/freshness/lag.rs
@@ -10,7 +10,7 @@
 const HALF_LIFE: Duration = Duration::from_secs(4);
 /// Share of the difference by which the estimate falls when a replica turns out to lag less.
 const DECREASE_SHARE: f64 = 0.25;
-/// Upper limit of the estimate: a replica that lags further is out of order, and is recorded as such.
+/// Upper limit of the estimate: a replica that lags further is faulty, and is recorded as such.
 const MAX_LAG: Duration = Duration::from_secs(2);
 
 /// Estimate of the time that commits take to reach the replicas.
--- a/crates/dyketally/src/freshness/mod.rs
+++ b/crates/dyketally/src/freshness/mod.rs
@@ -113,8 +113,8 @@
     pub own_commit: Option<LogPosition>,
 }
 
-/// Subtracted from a route's staleness bound, because callers measure staleness from when they send a
-/// statement, which is before it arrives here.
+/// Subtracted from a route's staleness bound, because a caller's clock starts before its statement arrives
+/// here.
 const BOUND_MARGIN: Duration = Duration::from_millis(100);
 
 impl ReadConsistency {
--- a/crates/dyketally/src/lib.rs
+++ b/crates/dyketally/src/lib.rs
@@ -1,7 +1,8 @@
 //! Coordination logic of the dyketally database proxy.
 //!
-//! Each module is free of I/O and clocks: its users pass in messages and the current
-//! [`time::Timestamp`], and get decisions back. The daemons and the stateful fuzzers run the same code.
+//! Every part is a state machine without I/O and without a clock: its users pass in messages and the
+//! current [`time::Timestamp`], and get decisions back. The daemons and the stateful fuzzers run the same
+//! code.
 
 pub mod admission;
 pub mod capacity;
