--- a/crates/dyketally/src/configuration/change.rs
+++ b/crates/dyketally/src/configuration/change.rs
@@ -1,4 +1,4 @@
-//! One change of the configuration.
+//! A change of the configuration: the edits to documents that take effect together, and its bounds.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,20 +9,21 @@
 use crate::policy::Revision;
 use crate::template::{DocumentKind, Documents};
 
-/// Edits that one change may carry; the key-value service carries out 128 operations in one
-/// transaction by default, and each edit is one of them.
+/// Most edits in one change. The key-value service allows 128 operations in one transaction by
+/// default, and each edit is one operation.
 pub const MOST_EDITS: usize = 100;
 
-/// Largest change, in bytes of names and texts; a node sends whole changes to its peers.
+/// Largest change, in bytes as counted by [`Change::bytes`]. Nodes send a change
+/// to their peers as a whole.
 pub const LARGEST_CHANGE_BYTES: usize = 256 * 1024;
 
-/// Identifies a change, so that its publisher recognises it when the reply was lost. Random.
+/// Random identifier of a change, by which its publisher recognises it after a lost reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct ChangeId(u128);
 
 impl ChangeId {
-    /// Draws a new identifier.
+    /// A new random identifier.
     pub fn random(random: &mut impl Rng) -> Self {
         ChangeId(random.random())
     }
@@ -57,7 +58,8 @@
     }
 }
 
-/// Wall-clock time of an operator's machine, in milliseconds since 1970. Shown, never compared.
+/// Wall-clock time of an operator's machine, in milliseconds since 1970. Only displayed: clocks of
+/// different machines can't be compared.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -66,22 +68,22 @@
 /// One document: a TOML text with its kind and name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The kind.
+    /// The document's kind.
     pub kind: DocumentKind,
-    /// The name, unique within the kind.
+    /// The document's name, unique within its kind.
     pub name: String,
     /// The TOML text.
     pub text: String,
 }
 
 impl Document {
-    /// Bytes that the document takes, near enough for bounds.
+    /// Approximate size of the document in bytes: its name and its text.
     pub fn bytes(&self) -> usize {
         self.name.len() + self.text.len()
     }
 }
 
-/// One step of a change.
+/// One edit of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DocumentEdit {
@@ -89,15 +91,15 @@
     Put(Document),
     /// Remove a document.
     Remove {
-        /// Its kind.
+        /// The kind of the document.
         kind: DocumentKind,
-        /// Its name.
+        /// The name of the document.
         name: String,
     },
 }
 
 impl DocumentEdit {
-    /// Bytes that the edit takes, near enough for bounds.
+    /// Approximate size of the edit in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             DocumentEdit::Put(document) => document.bytes(),
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Carries the edit out. Removing what doesn't exist changes nothing.
+    /// Applies the edit to `documents`. Removing a document that doesn't exist changes nothing.
     pub fn apply(&self, documents: &mut Documents) {
         match self {
             DocumentEdit::Put(document) => {
@@ -130,29 +132,29 @@
 /// A change of the configuration: its edits take effect together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision that the change makes: one more than the one it was made on.
+    /// The revision that the change creates: one more than the revision it was based on.
     pub revision: Revision,
     /// Identifies the change.
     pub change_id: ChangeId,
-    /// Who published it, as the operator's tool was told.
+    /// Name of the operator who published the change, as given to the command-line tool.
     pub author: String,
-    /// When it was published, by the operator's clock.
+    /// When the change was published, by the clock of the operator's machine.
     pub published_at: UnixMillis,
-    /// What it changes.
+    /// The edits, in the order in which they are applied.
     pub edits: Vec<DocumentEdit>,
 }
 
 impl Change {
-    /// Bytes that the change takes, near enough for bounds.
+    /// Approximate size of the change in bytes: its author and its edits.
     pub fn bytes(&self) -> usize {
         let edits: usize = self.edits.iter().map(DocumentEdit::bytes).sum();
         self.author.len() + edits
     }
 
-    /// Checks the bounds of a change before it is published.
+    /// Checks that the change is neither empty nor too large to be published.
     ///
     /// # Errors
-    /// When the change is empty or too large.
+    /// When the change has no edits, more than [`MOST_EDITS`], or more than [`LARGEST_CHANGE_BYTES`] bytes.
     pub fn check_bounds(&self) -> Result<(), ChangeError> {
         let edits = self.edits.len();
         let bytes = self.bytes();
@@ -168,27 +170,27 @@
 /// Why a change can't be published or read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// Nothing is edited.
+    /// The change has no edits.
     #[error("the change edits no document; edit at least one")]
     Empty,
-    /// Too many documents are edited.
+    /// The change has more than [`MOST_EDITS`] edits.
     #[error(
-        "the change edits {edits} documents, {MOST_EDITS} at most; publish it in several changes"
+        "the change edits {edits} documents, at most {MOST_EDITS} are allowed; publish it in several changes"
     )]
     TooManyEdits {
-        /// How many.
+        /// Number of edits in the change.
         edits: usize,
     },
-    /// The texts are too long.
+    /// The change is larger than [`LARGEST_CHANGE_BYTES`].
     #[error(
-        "the change has {bytes} bytes, {LARGEST_CHANGE_BYTES} at most; publish it in several \
+        "the change has {bytes} bytes, at most {LARGEST_CHANGE_BYTES} are allowed; publish it in several \
          changes"
     )]
     TooLarge {
-        /// How many bytes.
+        /// Size of the change in bytes.
         bytes: usize,
     },
-    /// The identifier isn't a hexadecimal number of 128 bits.
+    /// The identifier of a change isn't a hexadecimal number of at most 128 bits.
     #[error("a change's identifier is a hexadecimal number of 128 bits; copy it from the history")]
     MalformedId,
 }
--- a/crates/dyketally/src/configuration/log.rs
+++ b/crates/dyketally/src/configuration/log.rs
@@ -1,4 +1,6 @@
-//! The configuration of one node: the documents in force and the newest changes.
+//! The configuration of one node: the current documents and the most recent changes.
+//!
+//! The changes are kept for peers whose configuration is older.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,87 +10,89 @@
 use super::change::Change;
 use super::snapshot::Snapshot;
 
-/// What became of an offered change.
+/// Result of [`ConfigurationLog::apply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It is in force.
+    /// The change is in force.
     InForce,
-    /// It, or a later one, was in force already.
+    /// The change's revision, or a later one, was already in force.
     AlreadyKnown,
-    /// Changes before it are missing; it was left out.
+    /// The change was not applied, because changes before it are missing.
     Gap,
-    /// Another change was accepted as the same revision; the offered one was left out. Happens
-    /// only when the key-value service lost accepted changes.
+    /// The change was not applied, because another change created the same revision. Happens only
+    /// when the key-value service lost accepted changes.
     Contradiction,
 }
 
-/// What became of an offered snapshot.
+/// Result of [`ConfigurationLog::install`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Installed {
-    /// It is in force.
+    /// The snapshot is in force.
     InForce,
-    /// It isn't newer than what was in force.
+    /// The snapshot was ignored, because it isn't newer than the current configuration.
     NotNewer,
 }
 
-/// What a peer lacks.
+/// What a peer needs to reach the revision of a [`ConfigurationLog`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Missing {
-    /// Nothing.
+    /// The peer's configuration is up to date.
     Nothing,
-    /// These changes, in order.
+    /// The changes that the peer lacks, in the order of their revisions.
     Changes(Vec<Arc<Change>>),
-    /// More than the changes that are kept; send the snapshot.
+    /// Some of the missing changes are no longer kept: the peer needs the whole snapshot.
     Snapshot,
 }
 
-/// The documents in force and the changes that led to them. Never goes back.
+/// The current documents and the most recent changes. Its revision never decreases.
 #[derive(Clone, Debug)]
 pub struct ConfigurationLog {
     snapshot: Snapshot,
-    /// The newest changes in order; the last one made the snapshot's revision.
+    /// The most recent changes in the order of their revisions; the last one created the snapshot's
+    /// revision.
     recent: VecDeque<Arc<Change>>,
-    kept: usize,
+    /// Maximum length of `recent`.
+    max_recent: usize,
 }
 
 impl ConfigurationLog {
-    /// An empty configuration at revision 0 that keeps the newest `kept` changes.
-    pub fn new(kept: usize) -> Self {
+    /// An empty configuration at revision 0 that keeps the `max_recent` most recent changes.
+    pub fn new(max_recent: usize) -> Self {
         Self {
             snapshot: Snapshot::default(),
             recent: VecDeque::new(),
-            kept,
+            max_recent,
         }
     }
 
-    /// The revision in force.
+    /// The current revision.
     pub fn revision(&self) -> Revision {
         self.snapshot.revision
     }
 
-    /// The documents in force.
+    /// The current documents with their revision.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// Applies `change` if it is the very next one.
+    /// Applies `change` if its revision directly follows the current one.
     pub fn apply(&mut self, change: Arc<Change>) -> Applied {
         let next = self.revision().0 + 1;
         if change.revision.0 > next {
             return Applied::Gap;
         }
         if change.revision.0 < next {
-            return self.compare(&change);
+            return self.compare_with_known(&change);
         }
         self.snapshot.apply(&change);
         self.recent.push_back(change);
-        while self.recent.len() > self.kept {
+        while self.recent.len() > self.max_recent {
             self.recent.pop_front();
         }
         Applied::InForce
     }
 
-    /// Replaces all documents if `snapshot` is newer.
+    /// Replaces the current documents with `snapshot` if that is newer.
     pub fn install(&mut self, snapshot: Snapshot) -> Installed {
         if snapshot.revision <= self.revision() {
             return Installed::NotNewer;
@@ -98,7 +102,7 @@
         Installed::InForce
     }
 
-    /// What a peer at `have` lacks.
+    /// What a peer whose current revision is `have` is missing.
     pub fn since(&self, have: Revision) -> Missing {
         if have >= self.revision() {
             return Missing::Nothing;
@@ -112,7 +116,9 @@
         Missing::Changes(self.recent.range(first..).cloned().collect())
     }
 
-    fn compare(&self, offered: &Change) -> Applied {
+    /// Tells a change that is already applied from another change of the same revision. A change too
+    /// old to be kept counts as known.
+    fn compare_with_known(&self, offered: &Change) -> Applied {
         let age = (self.revision().0 - offered.revision.0) as usize;
         let index = self.recent.len().checked_sub(age + 1);
         let known = index.and_then(|index| self.recent.get(index));
--- a/crates/dyketally/src/configuration/mod.rs
+++ b/crates/dyketally/src/configuration/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' configuration: changes, their publication and their way to every node.
+//! The operators' configuration: its changes, their publication and their distribution to all nodes.
 //!
 //! A change is accepted when a compare-and-swap on one counter, the revision, takes effect at the
-//! platform's key-value service. Nodes apply changes in the order of their revisions and never go
-//! back, so that a late, repeated or reordered offer does no harm.
+//! platform's key-value service. Nodes apply changes in the order of their revisions and never
+//! return to an older revision, so changes that arrive late, twice or out of order do no harm.
 
 mod change;
 mod log;
--- a/crates/dyketally/src/configuration/publisher.rs
+++ b/crates/dyketally/src/configuration/publisher.rs
@@ -1,9 +1,11 @@
-//! Publishes one change: a state machine over the key-value service.
+//! Publishes one change to the key-value service: a state machine whose driver carries out the
+//! requests to the service.
 //!
-//! The change is made on the revision that the operator saw, by one transaction that compares the
-//! revision counter and writes counter and change. The same transaction may be sent again at will,
-//! because the counter lets it take effect only once. When a reply is lost, the change that follows
-//! the seen revision is read: it is either one's own, or another one, or there is none yet.
+//! The change is based on the revision that the operator saw. One transaction compares the revision
+//! counter with that base revision and writes the new counter and the change. The transaction may be
+//! sent any number of times, because the counter lets it take effect only once. When a reply is lost,
+//! the publisher reads the change that follows the base revision: it is the publisher's own change,
+//! another one, or doesn't exist yet.
 
 use std::time::Duration;
 
@@ -14,14 +16,14 @@
 
 use super::change::{Change, ChangeId};
 
-/// How long a publisher goes on.
+/// Timing of a publisher's attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublisherSettings {
-    /// Time from the start until it gives up.
+    /// Time from the start until the publisher gives up.
     pub patience: Duration,
-    /// Longest wait before the first repetition; doubles with each.
+    /// Maximum of the random wait before the first retry; it doubles with each retry.
     pub backoff: Duration,
-    /// Bound of the longest wait.
+    /// Upper bound of the doubling wait.
     pub longest_backoff: Duration,
 }
 
@@ -35,53 +37,53 @@
     }
 }
 
-/// What the driver has to do next; it then calls [`Publisher::answer`].
+/// What the driver has to do next. After a request it calls [`Publisher::answer`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublisherStep {
     /// Send the transaction.
     Commit,
-    /// Read the revision counter and the change that follows the seen revision.
+    /// Read the revision counter and the change that follows the base revision.
     ReadBack,
-    /// Wait until then, and call [`Publisher::resume`].
+    /// Wait until this time, then call [`Publisher::resume`].
     WaitUntil(Timestamp),
     /// The publication has ended.
     Finished(PublishOutcome),
 }
 
-/// What the service holds, read in one transaction.
+/// State of the key-value service, read in one transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// The revision counter.
     pub current: Revision,
-    /// The change that follows the seen revision.
+    /// The change that follows the base revision, if there is one.
     pub following: Option<Winner>,
 }
 
-/// The change that took the place of one's own.
+/// The accepted change that follows the base revision: the publisher's own or another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Winner {
-    /// Its identifier.
+    /// Identifier of the change.
     pub change_id: ChangeId,
-    /// Who published it.
+    /// Name of the operator who published the change.
     pub author: String,
-    /// The revision that it made.
+    /// The revision that the change created.
     pub revision: Revision,
 }
 
-/// How the service answered a step.
+/// Result of a request to the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublisherAnswer {
     /// The transaction took effect.
     Committed,
-    /// The transaction's condition did not hold.
+    /// The transaction had no effect, because the revision counter had another value.
     NotCommitted(Observation),
-    /// The transaction may or may not have taken effect.
+    /// The reply was lost: the transaction may or may not have taken effect.
     Undetermined,
     /// The read succeeded.
     Read(Observation),
-    /// Nothing was changed, or the read failed.
+    /// The transaction had no effect, or the read failed.
     Failed {
-        /// The wait that the service asked for.
+        /// Wait before the next attempt that the service requested.
         retry_after: Duration,
     },
 }
@@ -91,42 +93,43 @@
 pub enum PublishOutcome {
     /// The change is accepted.
     Accepted {
-        /// The revision that it made.
+        /// The revision that the change created.
         revision: Revision,
     },
-    /// Another change was accepted first; this one was not and never will be.
+    /// Another change was accepted first; this one will never be accepted.
     Conflict {
-        /// The change that was accepted in its place.
+        /// The change that was accepted instead.
         winner: Winner,
-        /// The revision now.
+        /// The service's current revision.
         current: Revision,
     },
-    /// The service is at an earlier revision than the one that the operator saw; the change was
-    /// not accepted. Happens only when the service lost accepted changes.
+    /// The change was not accepted, because the service's revision is lower than the one that the
+    /// operator saw. Happens only when the service lost accepted changes.
     ServiceBehind {
-        /// The revision now.
+        /// The service's current revision.
         current: Revision,
     },
-    /// The service did not answer in time.
+    /// The publisher gave up before the service answered.
     Unavailable {
-        /// True when the change may have been accepted, or may yet be; the history tells by the
-        /// change's identifier.
+        /// True when the change may have been accepted or may still be. To find out, look for its
+        /// identifier in the history of the configuration.
         may_be_accepted: bool,
     },
 }
 
-/// Publishes one change.
+/// Publishes one change to the key-value service.
 #[derive(Clone, Debug)]
 pub struct Publisher {
     change: Change,
     settings: PublisherSettings,
     deadline: Timestamp,
     attempts: u32,
+    /// A transaction was sent whose effect is unknown.
     in_doubt: bool,
 }
 
 impl Publisher {
-    /// Publishes `change`, whose revision is one more than the one the operator saw.
+    /// A publisher of `change`, whose revision is one more than the one that the operator saw.
     pub fn new(change: Change, settings: PublisherSettings, now: Timestamp) -> Self {
         Self {
             change,
@@ -137,12 +140,12 @@
         }
     }
 
-    /// The change.
+    /// The change to be published.
     pub fn change(&self) -> &Change {
         &self.change
     }
 
-    /// The revision that the operator saw.
+    /// The base revision of the change: the one that the operator saw.
     pub fn seen(&self) -> Revision {
         Revision(self.change.revision.0.saturating_sub(1))
     }
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Takes the service's answer and decides on the next step.
+    /// Evaluates the service's answer and returns the next step.
     pub fn answer(
         &mut self,
         answer: PublisherAnswer,
@@ -165,14 +168,14 @@
         match answer {
             PublisherAnswer::Committed => self.accepted(),
             PublisherAnswer::NotCommitted(observation) => self
-                .judge(observation)
+                .evaluate(observation)
                 .unwrap_or_else(|| self.wait(Duration::ZERO, now, random)),
             PublisherAnswer::Undetermined => {
                 self.in_doubt = true;
                 self.wait(Duration::ZERO, now, random)
             }
             PublisherAnswer::Read(observation) => self
-                .judge(observation)
+                .evaluate(observation)
                 .unwrap_or_else(|| self.commit_again(now)),
             PublisherAnswer::Failed { retry_after } => self.wait(retry_after, now, random),
         }
@@ -184,8 +187,8 @@
         })
     }
 
-    /// Ends the publication if the observation decides it.
-    fn judge(&self, observation: Observation) -> Option<PublisherStep> {
+    /// The end of the publication, if `observation` decides it.
+    fn evaluate(&self, observation: Observation) -> Option<PublisherStep> {
         let current = observation.current;
         let outcome = match observation.following {
             Some(following) if following.change_id == self.change.change_id => {
@@ -198,7 +201,8 @@
         Some(PublisherStep::Finished(outcome))
     }
 
-    /// The service doesn't hold the change: an earlier transaction was lost or is still on its way.
+    /// Sends the transaction once more: the service doesn't hold the change, so an earlier transaction
+    /// was lost or is still in transit.
     fn commit_again(&self, now: Timestamp) -> PublisherStep {
         match now >= self.deadline {
             true => self.give_up(),
@@ -206,6 +210,7 @@
         }
     }
 
+    /// Waits for `at_least` and a random backoff, or gives up if that would exceed the deadline.
     fn wait(&mut self, at_least: Duration, now: Timestamp, random: &mut impl Rng) -> PublisherStep {
         let longest = self.settings.backoff * 2_u32.saturating_pow(self.attempts.min(16));
         let longest = longest.min(self.settings.longest_backoff);
--- a/crates/dyketally/src/configuration/snapshot.rs
+++ b/crates/dyketally/src/configuration/snapshot.rs
@@ -1,4 +1,4 @@
-//! All documents as of one revision.
+//! A snapshot of the configuration: all documents as of one revision.
 
 use std::sync::Arc;
 
@@ -10,14 +10,14 @@
 /// The documents of one revision. Cheap to clone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The revision.
+    /// The revision of the configuration.
     pub revision: Revision,
-    /// Its documents.
+    /// All documents as of this revision.
     pub documents: Arc<Documents>,
 }
 
 impl Snapshot {
-    /// Carries out a change that was made on this snapshot.
+    /// Applies a change that was based on this snapshot's revision.
     pub(super) fn apply(&mut self, change: &Change) {
         let documents = Arc::make_mut(&mut self.documents);
         for edit in &change.edits {
--- a/crates/dyketally/src/configuration/sync/assembly.rs
+++ b/crates/dyketally/src/configuration/sync/assembly.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a snapshot together.
+//! Assembles a snapshot from the parts that peers send.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 use crate::policy::Revision;
 use crate::template::Documents;
 
-/// Bytes of a snapshot beyond which a peer's parts are taken for garbage.
+/// Largest snapshot, in bytes. Parts that exceed it are treated as corrupt and dropped.
 const LARGEST_SNAPSHOT_BYTES: usize = 256 * 1024 * 1024;
 
-/// The parts that have arrived so far.
+/// A snapshot of which some parts have arrived.
 #[derive(Clone, Debug)]
 pub(super) struct Assembly {
     next: PartOfSnapshot,
@@ -19,19 +19,19 @@
     bytes: usize,
 }
 
-/// What a part did.
+/// Result of adding a part to an [`Assembly`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Assembled {
     /// More parts are missing.
     Continues,
-    /// The snapshot is whole.
+    /// The snapshot is complete.
     Whole(Snapshot),
-    /// The part isn't the next one, or the snapshot grows beyond all bounds.
+    /// The part isn't the next one, or the snapshot exceeds [`LARGEST_SNAPSHOT_BYTES`].
     Unusable,
 }
 
 impl Assembly {
-    /// An assembly of which nothing has arrived.
+    /// An assembly without any parts.
     pub(super) fn new(revision: Revision) -> Self {
         Self {
             next: PartOfSnapshot {
@@ -43,12 +43,12 @@
         }
     }
 
-    /// The part that is missing next.
+    /// Names the next part to request.
     pub(super) fn next(&self) -> &PartOfSnapshot {
         &self.next
     }
 
-    /// Adds the part that is missing next.
+    /// Adds the documents of the part named by [`Assembly::next`]; `last` marks the final part.
     pub(super) fn add(&mut self, last: bool, documents: Vec<Document>) -> Assembled {
         for document in documents {
             self.bytes += document.bytes();
--- a/crates/dyketally/src/configuration/sync/backoff.rs
+++ b/crates/dyketally/src/configuration/sync/backoff.rs
@@ -1,13 +1,14 @@
-//! Waits between attempts that grow and are spread at random.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Attempts after which the wait no longer doubles.
+/// Failures in a row after which the wait no longer doubles.
 const MOST_DOUBLINGS: u32 = 16;
 
-/// A wait after `failures` failures in a row, at least half of its longest.
+/// The wait after `failures` failures in a row. Its bound is `base`, doubled with each failure, up to
+/// `longest`; the wait is a random time between half of the bound and the bound.
 pub(super) fn wait(
     base: Duration,
     longest: Duration,
--- a/crates/dyketally/src/configuration/sync/message.rs
+++ b/crates/dyketally/src/configuration/sync/message.rs
@@ -1,4 +1,4 @@
-//! What nodes ask of each other.
+//! Messages by which nodes pull configuration from each other.
 
 use std::sync::Arc;
 
@@ -8,50 +8,50 @@
 use crate::policy::Revision;
 use crate::template::DocumentKind;
 
-/// Names one document.
+/// Identifies one document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DocumentKey {
-    /// The kind.
+    /// The document's kind.
     pub kind: DocumentKind,
-    /// The name.
+    /// The document's name.
     pub name: String,
 }
 
-/// Names the part of a snapshot that begins behind a document, in the order of kind and name.
-/// Tells the same place to every node at that revision, however large its parts are, so that a
-/// node may take the parts from several peers.
+/// Identifies the part of a snapshot that begins after a given document, in the order of kind and
+/// name. It means the same position at every node with that revision, whatever part size the node
+/// uses, so the parts may come from several peers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PartOfSnapshot {
     /// The snapshot's revision.
     pub revision: Revision,
-    /// The last document of the part before; `None` for the first part.
+    /// The last document of the previous part; `None` for the first part.
     pub after: Option<DocumentKey>,
 }
 
-/// Asks a peer for what is missing. Sent again, to any peer, when no reply comes.
+/// Requests missing configuration from a peer. Without a reply it may be sent again, to any peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PullRequest {
-    /// The revision in force at the asking node.
+    /// The requester's current revision.
     pub have: Revision,
-    /// The part to go on with, when a snapshot has begun to arrive.
+    /// The next part of a snapshot that the requester has received in part.
     pub part: Option<PartOfSnapshot>,
 }
 
-/// Answers a [`PullRequest`], in a bounded number of bytes; the asking node asks again for more.
+/// Answers a [`PullRequest`]. Its size is bounded; the requester sends another request for the rest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PullReply {
-    /// Changes that follow the asking node's revision, in order; none when it lacks nothing.
+    /// Changes that follow the requester's revision, in order; empty when it is up to date.
     Changes {
         /// The changes.
         changes: Vec<Arc<Change>>,
     },
     /// One part of the snapshot.
     Part {
-        /// Which part.
+        /// Identifies the part.
         part: PartOfSnapshot,
         /// True for the last part.
         last: bool,
-        /// The part's documents.
+        /// The documents of the part.
         documents: Vec<Document>,
     },
 }
--- a/crates/dyketally/src/configuration/sync/mod.rs
+++ b/crates/dyketally/src/configuration/sync/mod.rs
@@ -1,8 +1,8 @@
-//! The way of a configuration from the key-value service to every node.
+//! Distributes the configuration from the key-value service to all nodes.
 //!
-//! A few nodes of each zone, the relays, watch the service; all others learn of a newer revision
-//! from the revision that their peers tell with each membership message, and pull what they lack
-//! from a peer that is ahead. A fresh node pulls likewise, so it starts while the service is down.
+//! A few nodes of each zone, the relays, watch the service. Each membership message carries its
+//! sender's revision; a node that receives a higher revision than its own pulls the missing changes
+//! from that peer. A new node pulls in the same manner, so it can start while the service is down.
 
 mod assembly;
 mod backoff;
--- a/crates/dyketally/src/configuration/sync/puller.rs
+++ b/crates/dyketally/src/configuration/sync/puller.rs
@@ -1,4 +1,5 @@
-//! Which peer is asked for what is missing, and when it is given up.
+//! Pulls missing configuration from one peer at a time: selects the peer, applies the timeout and
+//! collects the parts of a snapshot.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,26 +11,28 @@
 use crate::policy::Revision;
 use crate::time::Timestamp;
 
-/// Peers that are remembered as ahead; a node needs one.
+/// Most peers that are recorded as having a newer revision. One is enough to pull from.
 const PEERS_REMEMBERED: usize = 16;
 
+/// A request without a reply so far.
 #[derive(Clone, Debug)]
 struct Pending {
     peer: NodeName,
     expires_at: Timestamp,
 }
 
-/// Asks one peer at a time.
+/// Pulls missing configuration, with at most one request open.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Puller {
+    /// Peers with a newer revision than the node's own.
     ahead: BTreeMap<NodeName, Revision>,
     pending: Option<Pending>,
     assembly: Option<Assembly>,
 }
 
 impl Puller {
-    /// A peer told its revision.
-    pub(super) fn heard(&mut self, peer: NodeName, revision: Revision, have: Revision) {
+    /// Records a peer's revision; `have` is the node's own.
+    pub(super) fn record_revision(&mut self, peer: NodeName, revision: Revision, have: Revision) {
         if revision <= have {
             self.ahead.remove(&peer);
             return;
@@ -39,32 +42,32 @@
         }
     }
 
-    /// The node has advanced to `have`.
-    pub(super) fn advanced(&mut self, have: Revision) {
+    /// Drops peers and parts that are obsolete now that the node's own revision is `have`.
+    pub(super) fn drop_obsolete(&mut self, have: Revision) {
         self.ahead.retain(|_, revision| *revision > have);
         let outdated = |assembly: &mut Assembly| assembly.next().revision <= have;
         self.assembly.take_if(outdated);
     }
 
-    /// Forgets a peer that doesn't answer, or answers nothing of use.
+    /// Forgets a peer that didn't reply, or whose reply was of no use.
     pub(super) fn forget(&mut self, peer: &NodeName) {
         self.ahead.remove(peer);
     }
 
-    /// The peer whose answer is overdue.
-    pub(super) fn expire(&mut self, now: Timestamp) -> Option<NodeName> {
+    /// Ends a request that timed out, and returns its peer.
+    pub(super) fn take_timed_out(&mut self, now: Timestamp) -> Option<NodeName> {
         let overdue = |pending: &mut Pending| pending.expires_at <= now;
         Some(self.pending.take_if(overdue)?.peer)
     }
 
-    /// Ends the wait for `peer`; false when its answer wasn't awaited.
-    pub(super) fn settle(&mut self, peer: &NodeName) -> bool {
+    /// Ends the open request to `peer`; returns false when there was none.
+    pub(super) fn end_request(&mut self, peer: &NodeName) -> bool {
         let awaited = |pending: &mut Pending| pending.peer == *peer;
         self.pending.take_if(awaited).is_some()
     }
 
-    /// Asks the peer that is furthest ahead, unless an answer is awaited.
-    pub(super) fn ask(
+    /// Begins a request to the peer with the highest revision, unless another request is open.
+    pub(super) fn begin_request(
         &mut self,
         have: Revision,
         now: Timestamp,
@@ -83,7 +86,7 @@
         Some((peer, PullRequest { have, part }))
     }
 
-    /// Takes one part of a snapshot that is newer than the node's revision.
+    /// Adds one part of a snapshot that is newer than the node's own revision.
     pub(super) fn add_part(
         &mut self,
         part: &PartOfSnapshot,
@@ -107,7 +110,8 @@
         assembled
     }
 
-    /// A first part that comes again doesn't undo what has arrived since.
+    /// True when `part` begins a new assembly: it is the first part, and not a repetition that would
+    /// discard the later parts of the same snapshot.
     fn begins_assembly(&self, part: &PartOfSnapshot) -> bool {
         let begun = self
             .assembly
--- a/crates/dyketally/src/configuration/sync/relay.rs
+++ b/crates/dyketally/src/configuration/sync/relay.rs
@@ -1,4 +1,4 @@
-//! Whether and when a node reads the key-value service: it does so only as a relay of its zone.
+//! Decides whether and when a node watches the key-value service. Only the relays of a zone do.
 
 use std::time::Duration;
 
@@ -8,22 +8,22 @@
 use super::token_bucket::TokenBucket;
 use crate::time::Timestamp;
 
-/// How relays read the service.
+/// Timing and rates of the relays' watches of the key-value service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelaySettings {
-    /// Watches that all relays together open per second. Each costs two requests, and one more for
-    /// each page of documents when too many changes are missing.
+    /// Watches that all relays together may open per second. Opening one costs two requests, plus one
+    /// for each page of documents when too many changes are missing.
     pub fleet_openings_per_second: u32,
-    /// Watches that one relay may open at once after a pause.
+    /// Watches that one relay may open in a burst.
     pub burst: u32,
-    /// Wait after the first failure; doubles with each one in a row.
+    /// Longest wait after the first failure; doubles with each further failure in a row.
     pub backoff: Duration,
-    /// Bound of the wait.
+    /// Upper bound of the doubling wait.
     pub longest_backoff: Duration,
-    /// A new relay waits a random part of this before its first opening, so that nodes which start
-    /// together and don't know each other yet don't all turn to the service.
+    /// A new relay waits for a random part of this time before it opens its first watch. Nodes that
+    /// start together and don't know each other yet would otherwise all contact the service at once.
     pub first_opening_spread: Duration,
-    /// A watch is opened anew after this time, in case it has fallen silent unnoticed.
+    /// Mean time after which an open watch is replaced, in case it has stopped reporting unnoticed.
     pub refresh: Duration,
 }
 
@@ -40,36 +40,38 @@
     }
 }
 
-/// Numbers the watches of one node; reports of an earlier watch are dropped.
+/// Number of a watch, ascending within one node. Failures reported by an earlier watch are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WatchId(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Other nodes are the relays.
+    /// The node is not a relay.
     Idle,
-    /// The next opening is due then.
+    /// The next watch is to be opened at `until`.
     Waiting { until: Timestamp },
-    /// A watch is open, or being opened.
+    /// A watch is open or being opened; it is replaced at `refresh_at`.
     Open { refresh_at: Timestamp },
 }
 
-/// What the relay's driver has to do.
+/// What the driver of a relay has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RelayStep {
-    /// Open this watch in place of any other.
+    /// Open this watch and close any earlier one.
     Open(WatchId),
-    /// Close the watch.
+    /// Close the open watch.
     Close,
 }
 
-/// Decides when a relay reads the service.
+/// Decides when a relay opens and closes its watch of the key-value service.
 #[derive(Clone, Debug)]
 pub(super) struct Relay {
     settings: RelaySettings,
     state: State,
     bucket: TokenBucket,
+    /// Failures in a row.
     failures: u32,
+    /// The watch that was opened last.
     watch: WatchId,
 }
 
@@ -85,12 +87,12 @@
         }
     }
 
-    /// True while `watch` is the one in use.
+    /// True while `watch` is the current watch and open.
     pub(super) fn is_open(&self, watch: WatchId) -> bool {
         self.watch == watch && matches!(self.state, State::Open { .. })
     }
 
-    /// Becomes or ceases to be one of `fleet_relays` relays.
+    /// Makes the node a relay or ends its duty; all zones together have `fleet_relays` relays.
     pub(super) fn assign(
         &mut self,
         is_relay: bool,
@@ -127,13 +129,19 @@
         }
     }
 
-    /// The watch has reported; the service answers.
-    pub(super) fn answered(&mut self) {
+    /// Records that the service answered, which ends a run of failures.
+    pub(super) fn record_answer(&mut self) {
         self.failures = 0;
     }
 
-    /// The watch is lost; the service asks for a wait of `retry_after`.
-    pub(super) fn failed(&mut self, retry_after: Duration, now: Timestamp, random: &mut impl Rng) {
+    /// Records that the watch failed. The next one is opened after `retry_after`, which the service
+    /// requested, and a backoff.
+    pub(super) fn record_failure(
+        &mut self,
+        retry_after: Duration,
+        now: Timestamp,
+        random: &mut impl Rng,
+    ) {
         let settings = &self.settings;
         let (base, longest) = (settings.backoff, settings.longest_backoff);
         let wait = backoff::wait(base, longest, self.failures, random);
@@ -144,7 +152,7 @@
 
     fn open(&mut self, now: Timestamp, random: &mut impl Rng) -> Option<RelayStep> {
         if let Err(wait) = self.bucket.take(now) {
-            // A watch that is open stays open until there is a token to open it anew.
+            // An open watch stays open until there is a token for its replacement.
             match &mut self.state {
                 State::Open { refresh_at } => *refresh_at = now + wait,
                 state => *state = State::Waiting { until: now + wait },
@@ -159,7 +167,7 @@
     }
 }
 
-/// Time between two openings by one relay in the long run.
+/// Mean time between two watches that one relay opens, so that all relays keep the fleet's rate.
 fn opening_interval(settings: &RelaySettings, fleet_relays: u32) -> Duration {
     let rate = settings.fleet_openings_per_second.max(1);
     Duration::from_secs(1) * fleet_relays.max(1) / rate
--- a/crates/dyketally/src/configuration/sync/serve.rs
+++ b/crates/dyketally/src/configuration/sync/serve.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of peers.
+//! Answers the pull requests of peers within a size limit.
 
 use std::sync::Arc;
 
@@ -7,15 +7,15 @@
 use crate::configuration::log::{ConfigurationLog, Missing};
 use crate::template::{DocumentKind, Documents};
 
-/// In their own order.
+/// All kinds of documents, in ascending order.
 const KINDS: [DocumentKind; 3] = [
     DocumentKind::Group,
     DocumentKind::Template,
     DocumentKind::Tenant,
 ];
 
-/// The answer to `request`, of about `most_bytes`; one change or document more than that if a
-/// single one is larger.
+/// The answer to `request`. Its changes or documents have at most `most_bytes` bytes together; a
+/// single change or document that is larger is sent alone.
 pub(super) fn answer(log: &ConfigurationLog, request: PullRequest, most_bytes: usize) -> PullReply {
     match log.since(request.have) {
         Missing::Nothing => PullReply::Changes {
--- a/crates/dyketally/src/configuration/sync/synchronizer.rs
+++ b/crates/dyketally/src/configuration/sync/synchronizer.rs
@@ -1,4 +1,5 @@
-//! Keeps one node's configuration up to date.
+//! Keeps one node's configuration up to date, as a state machine: a driver sends its requests to
+//! peers and carries out its watch of the key-value service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,14 +19,14 @@
 use crate::policy::Revision;
 use crate::time::Timestamp;
 
-/// How a node pulls from its peers.
+/// Limits on pulling configuration from peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PullSettings {
-    /// Time after which another peer is asked.
+    /// Time without a reply after which another peer is asked.
     pub timeout: Duration,
-    /// Bytes of one reply, near enough; a single larger change or document goes alone.
+    /// Largest reply, in approximate bytes; a single larger change or document is sent alone.
     pub reply_bytes: usize,
-    /// Newest changes that are kept for peers that are behind.
+    /// Number of recent changes that are kept for peers with an older revision.
     pub changes_kept: usize,
 }
 
@@ -42,83 +43,83 @@
 /// Settings of a [`Synchronizer`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SyncSettings {
-    /// How it pulls from its peers.
+    /// Limits on pulling from peers.
     pub pull: PullSettings,
-    /// How it reads the service while it is a relay.
+    /// Timing and rates of the watch of the key-value service while the node is a relay.
     pub relay: RelaySettings,
 }
 
-/// What the node's driver has to do.
+/// What the driver of a [`Synchronizer`] has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SyncAction {
     /// Send the request to the peer.
     Pull {
-        /// The peer.
+        /// The peer to ask.
         peer: NodeName,
-        /// The request.
+        /// The request to send.
         request: PullRequest,
     },
-    /// Open a watch of the service in place of any other: report what follows `have`, then go on
-    /// with each change.
+    /// Open a watch of the service and close any earlier one. The watch reports what follows `have`,
+    /// then each new change.
     OpenWatch {
-        /// Goes back with each report.
+        /// Number of the watch, to be returned with each report.
         watch: WatchId,
-        /// The revision in force.
+        /// The node's current revision.
         have: Revision,
     },
-    /// Close the watch.
+    /// Close the open watch.
     CloseWatch,
-    /// A newer configuration is in force. The revision should be told to a few peers at once.
+    /// A newer configuration is in force. Its revision should be announced to a few peers at once.
     InForce(Snapshot),
 }
 
 /// What a watch of the service reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchReport {
-    /// The service answers and is at this revision; all that was missing has been reported.
+    /// The service answered, and everything that the node lacked has been reported.
     Established {
-        /// The service's revision.
+        /// The service's current revision.
         revision: Revision,
     },
-    /// Accepted changes, in order.
+    /// Accepted changes, in the order of their revisions.
     Changes(Vec<Arc<Change>>),
-    /// All documents, as more changes were missing than the watch reads one by one.
+    /// All documents, sent when more changes are missing than the watch reads one by one.
     Snapshot(Snapshot),
-    /// The watch is lost.
+    /// The watch failed.
     Failed(WatchFailure),
 }
 
-/// Why a watch is lost.
+/// Details of a failed watch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchFailure {
-    /// The wait that the service asked for.
+    /// Wait before the next watch that the service requested.
     pub retry_after: Duration,
 }
 
-/// What a [`Synchronizer`] counts.
+/// Counters of a [`Synchronizer`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SyncCounters {
-    /// Changes applied.
+    /// Changes that were applied.
     pub changes_applied: u64,
-    /// Snapshots installed.
+    /// Snapshots that were installed.
     pub snapshots_installed: u64,
-    /// Changes and snapshots offered that were known.
+    /// Changes and snapshots that were ignored, because they were not newer than the node's own.
     pub already_known: u64,
-    /// Changes offered before their predecessors.
+    /// Changes that were ignored, because changes before them were missing.
     pub gaps: u64,
-    /// Changes offered for a revision that another change has made.
+    /// Changes that were ignored, because another change had created the same revision.
     pub contradictions: u64,
     /// Requests sent to peers.
     pub pulls: u64,
-    /// Requests that no answer came to in time.
+    /// Requests to peers that timed out.
     pub pull_timeouts: u64,
-    /// Answers that brought nothing.
+    /// Replies of peers that contained nothing new.
     pub useless_replies: u64,
-    /// Watches opened.
+    /// Watches that were opened.
     pub watches_opened: u64,
-    /// Watches lost.
+    /// Watches that failed.
     pub watches_lost: u64,
-    /// Times that the service was found at an earlier revision than the node.
+    /// Times that the service reported a lower revision than the node's own.
     pub service_behind: u64,
 }
 
@@ -135,7 +136,7 @@
 }
 
 impl Synchronizer {
-    /// A fresh node without a configuration; `seed` spreads its waits.
+    /// The synchronizer of a new node without a configuration; `seed` is for its random waits.
     pub fn new(node: NodeName, settings: SyncSettings, seed: u64) -> Self {
         Self {
             node,
@@ -148,22 +149,22 @@
         }
     }
 
-    /// The revision in force, told to peers with each membership message.
+    /// The current revision, announced to peers with each membership message.
     pub fn revision(&self) -> Revision {
         self.log.revision()
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     pub fn snapshot(&self) -> &Snapshot {
         self.log.snapshot()
     }
 
-    /// The counters.
+    /// What has been counted since the start.
     pub fn counters(&self) -> SyncCounters {
         self.counters
     }
 
-    /// The relays of the node's own zone have changed; all zones together have `fleet_relays`.
+    /// Sets the relays of the node's own zone; all zones together have `fleet_relays` relays.
     pub fn set_relays(
         &mut self,
         relays: &[NodeName],
@@ -177,19 +178,19 @@
         self.relay_action(step).into_iter().collect()
     }
 
-    /// Time has passed.
+    /// Handles timeouts and waits that have ended by `now`.
     pub fn tick(&mut self, now: Timestamp) -> Vec<SyncAction> {
-        if let Some(silent) = self.puller.expire(now) {
+        if let Some(silent) = self.puller.take_timed_out(now) {
             self.counters.pull_timeouts += 1;
             self.puller.forget(&silent);
         }
         let step = self.relay.tick(now, &mut self.random);
         let mut actions: Vec<SyncAction> = self.relay_action(step).into_iter().collect();
-        actions.extend(self.ask(now));
+        actions.extend(self.pull_next(now));
         actions
     }
 
-    /// A peer told its revision.
+    /// Handles the announcement of a peer's revision.
     pub fn peer_revision(
         &mut self,
         peer: NodeName,
@@ -197,23 +198,23 @@
         now: Timestamp,
     ) -> Vec<SyncAction> {
         let have = self.revision();
-        self.puller.heard(peer, revision, have);
-        self.ask(now).into_iter().collect()
+        self.puller.record_revision(peer, revision, have);
+        self.pull_next(now).into_iter().collect()
     }
 
-    /// A peer asks for what it lacks.
+    /// Answers a peer's request for missing configuration.
     pub fn pull_request(&self, request: PullRequest) -> PullReply {
         serve::answer(&self.log, request, self.settings.pull.reply_bytes)
     }
 
-    /// A peer answers.
+    /// Handles a peer's reply to a request.
     pub fn pull_reply(
         &mut self,
         peer: &NodeName,
         reply: PullReply,
         now: Timestamp,
     ) -> Vec<SyncAction> {
-        let awaited = self.puller.settle(peer);
+        let awaited = self.puller.end_request(peer);
         let before = self.revision();
         let useful = match reply {
             PullReply::Changes { changes } => {
@@ -226,7 +227,7 @@
                 documents,
             } if part.revision > before => {
                 let assembled = self.puller.add_part(&part, last, documents);
-                self.assembled(assembled)
+                self.handle_assembled(assembled)
             }
             PullReply::Part { .. } => false,
         };
@@ -236,10 +237,10 @@
         if awaited && !useful {
             self.puller.forget(peer);
         }
-        self.conclude(before, now)
+        self.after_update(before, now)
     }
 
-    /// The watch reports.
+    /// Handles a report of the watch `watch`.
     pub fn watch_report(
         &mut self,
         watch: WatchId,
@@ -248,21 +249,21 @@
     ) -> Vec<SyncAction> {
         let before = self.revision();
         match report {
-            // What the service accepted is true whichever watch tells it.
+            // Accepted changes are final, so reports of closed watches are used too.
             WatchReport::Changes(changes) => self.apply(changes),
             WatchReport::Snapshot(snapshot) => self.install(snapshot),
             _ if !self.relay.is_open(watch) => return Vec::new(),
             WatchReport::Established { revision } => {
                 self.counters.service_behind += u64::from(revision < before);
-                self.relay.answered();
+                self.relay.record_answer();
             }
             WatchReport::Failed(failure) => {
                 self.counters.watches_lost += 1;
                 self.relay
-                    .failed(failure.retry_after, now, &mut self.random);
+                    .record_failure(failure.retry_after, now, &mut self.random);
             }
         }
-        self.conclude(before, now)
+        self.after_update(before, now)
     }
 
     fn relay_action(&mut self, step: Option<RelayStep>) -> Option<SyncAction> {
@@ -296,7 +297,7 @@
         *counter += 1;
     }
 
-    fn assembled(&mut self, assembled: Assembled) -> bool {
+    fn handle_assembled(&mut self, assembled: Assembled) -> bool {
         match assembled {
             Assembled::Continues => true,
             Assembled::Unusable => false,
@@ -307,22 +308,22 @@
         }
     }
 
-    /// Tells of an advance over `before` and asks for what is still missing.
-    fn conclude(&mut self, before: Revision, now: Timestamp) -> Vec<SyncAction> {
+    /// Announces a revision higher than `before`, and requests what is still missing.
+    fn after_update(&mut self, before: Revision, now: Timestamp) -> Vec<SyncAction> {
         let mut actions = Vec::new();
         let have = self.revision();
         if have > before {
-            self.puller.advanced(have);
+            self.puller.drop_obsolete(have);
             actions.push(SyncAction::InForce(self.snapshot().clone()));
         }
-        actions.extend(self.ask(now));
+        actions.extend(self.pull_next(now));
         actions
     }
 
-    fn ask(&mut self, now: Timestamp) -> Option<SyncAction> {
+    fn pull_next(&mut self, now: Timestamp) -> Option<SyncAction> {
         let have = self.revision();
         let timeout = self.settings.pull.timeout;
-        let (peer, request) = self.puller.ask(have, now, timeout)?;
+        let (peer, request) = self.puller.begin_request(have, now, timeout)?;
         self.counters.pulls += 1;
         Some(SyncAction::Pull { peer, request })
     }
--- a/crates/dyketally/src/configuration/sync/token_bucket.rs
+++ b/crates/dyketally/src/configuration/sync/token_bucket.rs
@@ -1,16 +1,16 @@
-//! A bound on the rate of an activity.
+//! Token bucket: limits the rate of an activity and allows short bursts.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Grants at most `burst` at once and one each `interval` in the long run.
+/// Allows at most `burst` actions at once and, in the long run, one action per `interval`.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     interval: Duration,
     burst: u32,
-    /// The time at which the bucket would have become full, had nothing been taken since. Each
-    /// token taken moves it on by one interval.
+    /// When the bucket is full again if no more tokens are taken. Each token taken moves this time
+    /// one interval later.
     full_at: Timestamp,
 }
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Changes the interval; what was taken stays taken.
+    /// Changes the interval between tokens; tokens already taken stay taken.
     pub fn set_interval(&mut self, interval: Duration) {
         self.interval = interval;
     }
@@ -32,7 +32,7 @@
     /// Takes a token.
     ///
     /// # Errors
-    /// With the time until the next token when there is none.
+    /// When there is no token; the error is the time until the next one.
     pub fn take(&mut self, now: Timestamp) -> Result<(), Duration> {
         let full_at = self.full_at.max(now);
         let missing = full_at.saturating_since(now) + self.interval;
