--- a/crates/dyketally/src/document/field.rs
+++ b/crates/dyketally/src/document/field.rs
@@ -1,4 +1,4 @@
-//! Types that a field of a document may have.
+//! Types of document fields and how their values are read from TOML.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 };
 use crate::policy::{Access, Confirmation, Repeat, Urgency};
 
-/// Longest name of a node, zone, tenant, group or database, in bytes.
+/// Longest name of a node, zone, region, tenant, template, group or database, in bytes.
 const LONGEST_NAME: usize = 63;
 
-/// A type that can be read from one TOML value.
+/// A type of field whose values are read from one TOML value.
 pub trait Field: Sized {
-    /// What the field takes, in words that finish "set it to ...".
+    /// The values that the field accepts, as the end of a message "set it to ...".
     fn expected() -> String;
 
-    /// Reads the value; `None` when it is not what is expected.
+    /// Reads `value`; `None` if its type or form is wrong.
     fn from_value(value: &toml::Value) -> Option<Self>;
 }
 
-/// A field type whose values have an order, so that a range can be set.
+/// A type of field whose values are ordered, so that they can be checked against a range.
 pub trait Ranged: Field + PartialOrd {
-    /// The value as faults show it.
+    /// The value as text for messages.
     fn show(&self) -> String;
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// The words of a choice as a list for messages.
+/// The words in quotes and separated by commas, for messages.
 pub fn word_list(words: &[&str]) -> String {
     let quoted: Vec<String> = words.iter().map(|word| format!("{word:?}")).collect();
     quoted.join(", ")
@@ -120,7 +120,7 @@
     TemplateName
 );
 
-/// Reads one of the words that `serde` knows for the variants of an enumeration.
+/// Reads a variant of an enum by the word that `serde` uses for it.
 fn choice<T: DeserializeOwned>(value: &toml::Value) -> Option<T> {
     value.clone().try_into().ok()
 }
--- a/crates/dyketally/src/document/mod.rs
+++ b/crates/dyketally/src/document/mod.rs
@@ -1,7 +1,7 @@
-//! Reading operators' TOML documents: every fault of a document is found in one pass.
+//! Reads operators' TOML documents and finds all faults of a document in one pass.
 //!
-//! `serde` stops at the first fault. Here a [`TableReader`] takes the fields of a table one by
-//! one, notes each fault in a [`FaultList`] and reports the keys that nobody asked for.
+//! `serde` stops at the first fault. A [`TableReader`] instead reads the fields of a table one by
+//! one, records each fault in a [`FaultList`] and reports the keys that no field has.
 
 mod fault;
 mod field;
@@ -11,7 +11,7 @@
 pub use field::{Field, Ranged, word_list};
 pub use reader::TableReader;
 
-/// Parses `text` as a TOML table; notes the fault and returns `None` when it isn't one.
+/// Parses `text` as a TOML table; records a fault and returns `None` if the syntax is wrong.
 pub fn parse_table(document: &str, text: &str, faults: &FaultList) -> Option<toml::Table> {
     match text.parse::<toml::Table>() {
         Ok(table) => Some(table),
--- a/crates/dyketally/src/document/reader.rs
+++ b/crates/dyketally/src/document/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one TOML table field by field.
+//! Reads one TOML table field by field and records its faults.
 
 use std::cell::RefCell;
 use std::ops::RangeInclusive;
@@ -9,12 +9,13 @@
 /// Longest value quoted in a fault, in characters.
 const LONGEST_QUOTED_VALUE: usize = 60;
 
-/// Reads the fields of one table and notes faults; [`TableReader::finish`] reports unknown keys.
+/// Reads the fields of one table and records faults; [`TableReader::finish`] reports unknown keys.
 #[derive(Debug)]
 pub struct TableReader<'a> {
     document: &'a str,
     path: String,
     table: Option<&'a toml::Table>,
+    /// Keys of the fields that were read, whether they are set or not.
     known: RefCell<Vec<String>>,
     faults: &'a FaultList,
 }
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The path of `key`, as faults name it.
+    /// The path of `key` within the document, as messages show it.
     pub fn path_of(&self, key: &str) -> String {
         match self.path.is_empty() {
             true => key.to_owned(),
@@ -54,12 +55,12 @@
         &self.path
     }
 
-    /// Notes a fault at `key`.
+    /// Records a fault at `key`.
     pub fn fault(&self, key: &str, kind: FaultKind) {
         self.faults.add(self.document, &self.path_of(key), kind);
     }
 
-    /// Notes a fault of this table as a whole.
+    /// Records a fault of this table as a whole.
     pub fn table_fault(&self, kind: FaultKind) {
         self.faults.add(self.document, &self.path, kind);
     }
@@ -73,7 +74,7 @@
         self.table?.get(key)
     }
 
-    /// The field `key` if it is set and well formed.
+    /// The field `key` if it is set and well formed; records a fault if it is malformed.
     pub fn optional<T: Field>(&self, key: &str) -> Option<T> {
         let value = self.value(key)?;
         let read = T::from_value(value);
@@ -83,18 +84,19 @@
         read
     }
 
-    /// The field `key`; a fault if it isn't set.
+    /// The field `key`; records a fault if it isn't set or is malformed.
     pub fn required<T: Field>(&self, key: &str) -> Option<T> {
         self.require::<T>(key);
         self.optional(key)
     }
 
-    /// The field `key`, or `default` when it isn't set or is at fault.
+    /// The field `key`, or `default` if it isn't set or is malformed; records a fault if it is malformed.
     pub fn or_default<T: Field>(&self, key: &str, default: T) -> T {
         self.optional(key).unwrap_or(default)
     }
 
-    /// The field `key` if it is set, well formed and within `range`.
+    /// The field `key` if it is set, well formed and within `range`; records a fault if it is malformed
+    /// or outside the range.
     pub fn in_range<T: Ranged>(&self, key: &str, range: RangeInclusive<T>) -> Option<T> {
         let found = self.optional::<T>(key)?;
         if range.contains(&found) {
@@ -109,14 +111,15 @@
         None
     }
 
-    /// The whole number `key` if it is set, well formed and within `range`.
+    /// The field `key` as [`TableReader::in_range`] reads it, for numbers without a sign.
     pub fn number_in(&self, key: &str, range: RangeInclusive<u32>) -> Option<u32> {
         let range = i64::from(*range.start())..=i64::from(*range.end());
         let found = self.in_range(key, range)?;
         u32::try_from(found).ok()
     }
 
-    /// Notes a fault if `key` isn't set; for use beside the readers of ranges.
+    /// Records a fault if `key` isn't set. Makes a field required that [`TableReader::in_range`] or
+    /// [`TableReader::number_in`] reads.
     pub fn require<T: Field>(&self, key: &str) {
         if self.value(key).is_none() {
             let expected = T::expected();
@@ -124,13 +127,13 @@
         }
     }
 
-    /// Notes that the value of `key` is not what is `expected`.
+    /// Records that the value `found` of `key` is not one of those described by `expected`.
     pub fn malformed(&self, key: &str, found: &toml::Value, expected: String) {
         let found = quote(found);
         self.fault(key, FaultKind::Malformed { found, expected });
     }
 
-    /// The table `key`; an absent one reads as empty.
+    /// A reader of the table `key`; it reads as empty if `key` isn't set.
     pub fn table(&self, key: &str) -> TableReader<'a> {
         let value = self.value(key);
         let table = value.and_then(toml::Value::as_table);
@@ -140,7 +143,7 @@
         Self::at(self.document, self.path_of(key), table, self.faults)
     }
 
-    /// The tables of the list `key`; an absent one reads as empty.
+    /// Readers of the tables in the list `key`; none if `key` isn't set.
     pub fn tables(&self, key: &str) -> Vec<TableReader<'a>> {
         let Some(value) = self.value(key) else {
             return Vec::new();
@@ -164,7 +167,7 @@
         readers
     }
 
-    /// The values of the list `key`; an absent one reads as empty.
+    /// The values of the list `key` without the malformed ones; none if `key` isn't set.
     pub fn list<T: Field>(&self, key: &str) -> Vec<T> {
         let Some(value) = self.value(key) else {
             return Vec::new();
@@ -183,13 +186,13 @@
         entries.iter().enumerate().filter_map(read).collect()
     }
 
-    /// The keys of this table, for tables whose keys are the operator's own.
+    /// The keys of this table, for tables whose keys are names given by operators.
     pub fn keys(&self) -> Vec<&'a str> {
         let keys = self.table.into_iter().flat_map(|table| table.keys());
         keys.map(String::as_str).collect()
     }
 
-    /// Reports the keys that nothing has asked for.
+    /// Records a fault for each key of the table that no field was read from.
     pub fn finish(self) {
         let known = self.known.borrow();
         let unknown = |key: &&str| !known.iter().any(|other| other == key);
@@ -200,7 +203,7 @@
     }
 }
 
-/// A value as faults show it: cut to a printable length.
+/// The value as messages show it, cut to [`LONGEST_QUOTED_VALUE`] characters.
 fn quote(value: &toml::Value) -> String {
     let text = match value {
         toml::Value::Table(_) => "a table".to_owned(),
--- a/crates/dyketally/src/history/check.rs
+++ b/crates/dyketally/src/history/check.rs
@@ -1,4 +1,4 @@
-//! The checker: what a history shows to be broken.
+//! The checker: finds violations of the system's guarantees in a history.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use crate::policy::{Repeat, Revision};
 use crate::time::Timestamp;
 
-/// Times that the checker allows.
+/// Time limits that the checker applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CheckSettings {
-    /// How long after its announcement a leaving database may still receive new work.
+    /// Time after its announcement during which transactions may still begin at a leaving database.
     pub leaving_grace: Duration,
 }
 
@@ -26,14 +26,14 @@
     }
 }
 
-/// Returns every promise that the history of a whole run, with its final entries, shows to be
-/// broken, in the order in which it shows.
+/// Returns all violations that the history of a whole run, with its final entries, shows. They are in
+/// the order in which the checker finds them.
 pub fn check(history: &[Event], settings: CheckSettings) -> Vec<Violation> {
     let mut checker = Checker {
         settings,
         ..Checker::default()
     };
-    history.iter().for_each(|event| checker.take(event));
+    history.iter().for_each(|event| checker.add(event));
     checker.finish()
 }
 
@@ -41,34 +41,47 @@
 struct Checker {
     settings: CheckSettings,
     violations: Vec<Violation>,
+    /// All writes, with the outcomes reported so far.
     writes: BTreeMap<RequestNumber, (WriteBegan, Option<WriteOutcome>)>,
-    /// Lookups that wait for their answer.
+    /// Lookups without an answer so far.
     lookups: BTreeMap<RequestNumber, Lookup>,
-    /// The values that were ever sent under a key.
+    /// All values that callers sent under each key.
     values: HashMap<Key, BTreeSet<String>>,
+    /// Keys of each session's acknowledged writes.
     own_writes: HashMap<SessionName, HashSet<Key>>,
+    /// The open transaction of each connection.
     open: HashMap<(DatabaseName, u64), TransactionName>,
+    /// All transactions that have begun.
     begun: HashSet<TransactionName>,
-    runs: HashMap<RequestNumber, u64>,
+    /// How often databases committed each write.
+    commits: HashMap<RequestNumber, u64>,
+    /// When each leaving database was announced.
     leaving: HashMap<DatabaseName, Timestamp>,
+    /// Digest of each revision's documents.
     contents: HashMap<Revision, Digest>,
+    /// The newest accepted revision.
     accepted: Revision,
+    /// Digests of refused changes.
     refused: HashSet<Digest>,
+    /// The newest revision that each node had in force.
     in_force: HashMap<NodeName, Revision>,
+    /// How often each key in the final log was applied.
     final_entries: BTreeMap<Key, u64>,
-    /// Keys of which at least one request was not told not-run.
+    /// Keys of which at least one write was not reported as not run.
     possibly_run: HashSet<Key>,
-    /// Keys of writes that may run more than once.
+    /// Keys of writes that the system may run more than once.
     repeatable: HashSet<Key>,
 }
 
+/// A lookup without an answer so far.
 struct Lookup {
     began: LookupBegan,
+    /// The session had an acknowledged write of the key when the lookup began.
     must_find: bool,
 }
 
 impl Checker {
-    fn take(&mut self, event: &Event) {
+    fn add(&mut self, event: &Event) {
         match event {
             Event::WriteBegan(write) => self.write_began(write),
             Event::WriteEnded(ended) => self.write_ended(ended),
@@ -174,7 +187,7 @@
         }
         self.open.remove(&place);
         if let (Some(request), Some(TransactionEnd::Committed)) = (statement.write, statement.end) {
-            *self.runs.entry(request).or_default() += 1;
+            *self.commits.entry(request).or_default() += 1;
         }
     }
 
@@ -192,7 +205,7 @@
 
     fn accepted(&mut self, revision: Revision, digest: Digest) {
         self.accepted = self.accepted.max(revision);
-        self.content(revision, digest);
+        self.record_content(revision, digest);
     }
 
     fn in_force(&mut self, node: &NodeName, revision: Revision, digest: Digest) {
@@ -202,10 +215,10 @@
             self.report(Violation::ConfigurationReverted { node, from, to });
         }
         self.in_force.insert(node.clone(), revision.max(held));
-        self.content(revision, digest);
+        self.record_content(revision, digest);
     }
 
-    fn content(&mut self, revision: Revision, digest: Digest) {
+    fn record_content(&mut self, revision: Revision, digest: Digest) {
         if *self.contents.entry(revision).or_insert(digest) != digest {
             self.report(Violation::ConfigurationForked { revision });
         }
@@ -236,9 +249,9 @@
             self.report(Violation::Unanswered { request });
         }
         for (write, outcome) in std::mem::take(&mut self.writes).into_values() {
-            self.judge_write(&write, outcome);
+            self.check_write(&write, outcome);
         }
-        self.judge_final_entries();
+        self.check_final_entries();
         for (revision, digest) in std::mem::take(&mut self.contents) {
             if self.refused.contains(&digest) {
                 self.report(Violation::RefusedInForce { revision });
@@ -247,10 +260,10 @@
         self.violations
     }
 
-    fn judge_write(&mut self, write: &WriteBegan, outcome: Option<WriteOutcome>) {
+    fn check_write(&mut self, write: &WriteBegan, outcome: Option<WriteOutcome>) {
         let request = write.request;
-        let runs = self.runs.get(&request).copied().unwrap_or_default();
-        if write.repeat == Repeat::Never && runs > 1 {
+        let commits = self.commits.get(&request).copied().unwrap_or_default();
+        if write.repeat == Repeat::Never && commits > 1 {
             self.report(Violation::RunTwice { request });
         }
         let kept = write.entries.iter();
@@ -258,8 +271,9 @@
         let kept = kept.count();
         match outcome {
             None => self.report(Violation::Unanswered { request }),
-            // A recorded write can be proved absent after a run that the group did not keep.
-            Some(WriteOutcome::NotRun) if runs > 0 && write.repeat != Repeat::Recorded => {
+            // A recorded write may rightly be reported as not run after a primary committed it, if the
+            // group didn't keep that commit and the ledger shows that.
+            Some(WriteOutcome::NotRun) if commits > 0 && write.repeat != Repeat::Recorded => {
                 self.report(Violation::NotRunWasCommitted { request });
             }
             Some(WriteOutcome::Acknowledged) if kept < write.entries.len() => {
@@ -284,7 +298,7 @@
         }
     }
 
-    fn judge_final_entries(&mut self) {
+    fn check_final_entries(&mut self) {
         for (key, times) in std::mem::take(&mut self.final_entries) {
             if times > 1 && !self.repeatable.contains(&key) {
                 let key = key.clone();
--- a/crates/dyketally/src/history/event.rs
+++ b/crates/dyketally/src/history/event.rs
@@ -1,4 +1,4 @@
-//! Events of a history.
+//! Events of a history and their form as lines of JSON.
 
 use std::fmt;
 
@@ -24,34 +24,34 @@
 }
 
 text_type!(
-    /// What a write is recorded under. A caller that sends a write again uses the same key.
+    /// The key of an entry. A caller that sends a write again uses the same keys.
     Key
 );
 text_type!(
-    /// A caller's session, under the same name at every edge it roams to.
+    /// Name of a caller's session, the same at every edge that the session moves to.
     SessionName
 );
 text_type!(
-    /// A transaction as databases see it, or a single statement outside of one.
+    /// Name of a transaction at a database, or of a single statement outside of a transaction.
     TransactionName
 );
 
-/// A request of a caller; unique in the history.
+/// Number of a caller's request, unique in the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestNumber(pub u64);
 
-/// Digest of a configuration's content.
+/// Digest of a configuration's documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Digest(pub u64);
 
-/// One entry that a write adds.
+/// One entry that a write adds to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its key. Only requests that repeat each other share a key.
+    /// The entry's key. Only repetitions of the same request share a key.
     pub key: Key,
-    /// Its value.
+    /// The entry's value.
     pub value: String,
 }
 
@@ -62,30 +62,30 @@
     pub request: RequestNumber,
     /// The caller's session.
     pub session: SessionName,
-    /// What it adds: all of it or nothing.
+    /// The entries that the write adds: either all of them or none.
     pub entries: Vec<Entry>,
     /// Whether the system may send it to a database more than once.
     pub repeat: Repeat,
 }
 
-/// What the caller was told of a write.
+/// The outcome of a write, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WriteOutcome {
-    /// It was run.
+    /// The write was run.
     Acknowledged,
-    /// It was not run: refused, rolled back, or rejected by the database.
+    /// The write was not run: it was refused, rolled back, or rejected by the database.
     NotRun,
-    /// It may have been run, or the caller lost its connection.
+    /// The write may have been run, or the caller lost its connection.
     Unknown,
 }
 
-/// A caller is told of a write's outcome.
+/// A write's outcome is reported to its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteEnded {
     /// The request.
     pub request: RequestNumber,
-    /// What the caller was told.
+    /// The reported outcome.
     pub outcome: WriteOutcome,
 }
 
@@ -96,28 +96,28 @@
     pub request: RequestNumber,
     /// The caller's session.
     pub session: SessionName,
-    /// The key.
+    /// The key to look up.
     pub key: Key,
 }
 
-/// What a lookup found.
+/// The result of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LookupAnswer {
-    /// The key with this value.
+    /// The key exists with this value.
     Found(String),
-    /// No such key.
+    /// The key doesn't exist.
     Absent,
     /// The lookup was not answered.
     Failed,
 }
 
-/// A caller gets the answer of a lookup.
+/// A lookup's result reaches its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LookupEnded {
     /// The request.
     pub request: RequestNumber,
-    /// The answer.
+    /// The result of the lookup.
     pub answer: LookupAnswer,
 }
 
@@ -125,26 +125,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TransactionEnd {
-    /// Its changes are in the database's log.
+    /// The transaction's changes are in the database's log.
     Committed,
-    /// It changed nothing.
+    /// The transaction changed nothing.
     RolledBack,
 }
 
 /// A database runs a statement on one of its connections.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
-    /// The database.
+    /// The database that runs the statement.
     pub database: DatabaseName,
-    /// Number of the connection; never reused by the database.
+    /// Number of the connection; the database never reuses it.
     pub connection: u64,
-    /// The transaction it belongs to.
+    /// The transaction that the statement belongs to.
     pub transaction: TransactionName,
-    /// The write that it carries out, where that is known.
+    /// The write that the statement carries out, if known.
     pub write: Option<RequestNumber>,
-    /// How the transaction ends with it; `None` while it stays open.
+    /// How the statement ends the transaction; `None` if the transaction stays open.
     pub end: Option<TransactionEnd>,
-    /// When, on the clock of [`Event::Leaving`].
+    /// When the statement ran, on the same clock as [`Event::Leaving`].
     pub at: Timestamp,
 }
 
@@ -154,11 +154,11 @@
 pub enum Event {
     /// A caller sends a write.
     WriteBegan(WriteBegan),
-    /// A caller is told of a write's outcome.
+    /// A write's outcome is reported to its caller.
     WriteEnded(WriteEnded),
     /// A caller looks up a key.
     LookupBegan(LookupBegan),
-    /// A caller gets the answer of a lookup.
+    /// A lookup's result reaches its caller.
     LookupEnded(LookupEnded),
     /// A database runs a statement.
     Statement(Statement),
@@ -171,68 +171,68 @@
     },
     /// The platform announces that a database is leaving.
     Leaving {
-        /// The database.
+        /// The leaving database.
         database: DatabaseName,
-        /// When.
+        /// When the announcement was made, on the same clock as [`Statement::at`].
         at: Timestamp,
     },
     /// A planned stop of a node ends.
     Stopped {
         /// The node, with its incarnation.
         node: NodeName,
-        /// Requests in flight that it cut off.
+        /// Number of requests in flight that the stop cut off.
         cut_off: u64,
     },
     /// An operator's change of the configuration was accepted.
     Accepted {
-        /// The revision that the change made.
+        /// The revision that the change created.
         revision: Revision,
-        /// The content of that revision.
+        /// Digest of that revision's documents.
         digest: Digest,
     },
     /// An operator was told that a change was not accepted and never will be.
     Refused {
-        /// The content of the revision that it would have made.
+        /// Digest of the documents that the change would have resulted in.
         digest: Digest,
     },
-    /// A node puts a configuration in force.
+    /// A configuration takes effect on a node.
     InForce {
         /// The node, with its incarnation.
         node: NodeName,
         /// The revision.
         revision: Revision,
-        /// Its content.
+        /// Digest of the revision's documents.
         digest: Digest,
     },
-    /// The configuration that a node ends with, after all faults have healed.
+    /// The configuration that a node has at the end of the run, after all faults have ended.
     FinalConfiguration {
         /// The node, with its incarnation.
         node: NodeName,
         /// The revision.
         revision: Revision,
     },
-    /// A key in the group's final log.
+    /// An entry of the group's final log.
     FinalEntry {
-        /// The key.
+        /// The entry's key.
         key: Key,
-        /// Its value.
+        /// The entry's value.
         value: String,
-        /// How many times it was applied.
+        /// Number of times that the entry was applied.
         times: u64,
     },
 }
 
-/// A line that is not an event.
+/// A line of a history is not an event.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line} of the history is not an event; record the run again: {source}")]
 pub struct MalformedHistory {
-    /// Number of the line, from 1.
+    /// Number of the line, counted from 1.
     pub line: usize,
-    /// Why.
+    /// Why the line can't be parsed.
     pub source: serde_json::Error,
 }
 
-/// Reads a history: one event in JSON a line; empty lines don't count.
+/// Reads a history with one JSON event per line; blank lines are skipped.
 pub fn read_lines(text: &str) -> Result<Vec<Event>, MalformedHistory> {
     let lines = text.lines().enumerate();
     let lines = lines.filter(|(_, line)| !line.trim().is_empty());
@@ -246,7 +246,7 @@
         .collect()
 }
 
-/// The event as one line of a history, without the line's end.
+/// The event as one line of a history, without the line break.
 pub fn write_line(event: &Event) -> String {
     serde_json::to_string(event).expect("events have text keys only")
 }
--- a/crates/dyketally/src/history/mod.rs
+++ b/crates/dyketally/src/history/mod.rs
@@ -1,8 +1,8 @@
-//! Histories of runs and the checker that judges them.
+//! Histories of runs, and the checker that finds violations of the system's guarantees in them.
 //!
-//! A history is a list of events as callers, databases and nodes saw them, one JSON object a
-//! line. It knows nothing of the run that it came from: the fuzzer's model and runs of real
-//! processes feed the very same [`check`].
+//! A history is a list of events as callers, databases and nodes saw them, with one JSON object per
+//! line. Its form doesn't depend on the kind of run: the fuzzer's model and runs of real processes
+//! use the same [`check`].
 
 mod check;
 mod event;
--- a/crates/dyketally/src/history/violation.rs
+++ b/crates/dyketally/src/history/violation.rs
@@ -1,10 +1,10 @@
-//! What a history can show to be broken.
+//! Violations of the system's guarantees that the checker finds in a history.
 
 use super::{Key, LookupBegan, RequestNumber, Statement, TransactionName};
 use crate::identifiers::NodeName;
 use crate::policy::Revision;
 
-/// A promise that the history shows to be broken.
+/// A violation of one of the system's guarantees, as the history shows it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A session did not read its own acknowledged write.
@@ -14,15 +14,20 @@
         lookup: LookupBegan,
     },
     /// A lookup's answer is a value that was never written under its key.
-    #[error("lookup {:?} of {} was answered with {value:?}, never written there", lookup.request, lookup.key)]
+    #[error(
+        "lookup {:?} of {} was answered with {value:?}, which was never written under this key",
+        lookup.request, lookup.key
+    )]
     ForeignAnswer {
         /// The lookup.
         lookup: LookupBegan,
         /// The answer.
         value: String,
     },
-    /// A reply came to a request that was not waiting for one.
-    #[error("a reply came to request {request:?}, which was not waiting for one of its kind")]
+    /// A reply arrived for a request that was not waiting for one.
+    #[error(
+        "a reply arrived for request {request:?}, which was not waiting for a reply of its kind"
+    )]
     UnexpectedReply {
         /// The request.
         request: RequestNumber,
@@ -33,13 +38,13 @@
         /// The request.
         request: RequestNumber,
     },
-    /// An acknowledged write is not in the final log.
-    #[error("request {request:?} was acknowledged and is not in the final log as a whole")]
+    /// The final log lacks some or all entries of an acknowledged write.
+    #[error("request {request:?} was acknowledged, but the final log doesn't hold all its entries")]
     AcknowledgedWriteLost {
         /// The request.
         request: RequestNumber,
     },
-    /// A key was applied more than once.
+    /// An entry was applied more than once, though no write of its key is repeatable.
     #[error("{key} was applied {times} times")]
     AppliedTwice {
         /// The key.
@@ -53,48 +58,56 @@
         /// The request.
         request: RequestNumber,
     },
-    /// A key of which every request was told not-run is in the final log.
+    /// A key is in the final log, though each of its writes was reported to its caller as not run.
     #[error("{key} is in the final log, though its callers were told that it was not run")]
     NotRunWasApplied {
         /// The key.
         key: Key,
     },
-    /// A write that was told not-run was committed by a database.
-    #[error("request {request:?} was told not-run and a database committed it")]
+    /// A database committed a write that was reported to its caller as not run.
+    #[error("request {request:?} was reported as not run, but a database committed it")]
     NotRunWasCommitted {
         /// The request.
         request: RequestNumber,
     },
-    /// The final log holds a key or value that nobody wrote.
-    #[error("the final log holds {key} with a value that nobody wrote")]
+    /// The final log holds an entry that no caller wrote.
+    #[error("the final log holds {key} with a value that no caller wrote")]
     ForeignEntry {
         /// The key.
         key: Key,
     },
-    /// A transaction was applied in part.
-    #[error("only a part of request {request:?} is in the final log")]
+    /// A write was applied in part.
+    #[error("the final log holds only some entries of request {request:?}")]
     AppliedInPart {
         /// The request.
         request: RequestNumber,
     },
-    /// A connection carried a statement of another transaction than the open one.
-    #[error("connection {} of {} carried {} while {open} was open on it", statement.connection, statement.database, statement.transaction)]
+    /// A connection carried a statement of another transaction than the one open on it.
+    #[error(
+        "connection {} of {} carried {} while {open} was open on it",
+        statement.connection, statement.database, statement.transaction
+    )]
     TransactionsMixed {
         /// The transaction that was open.
         open: TransactionName,
-        /// The statement of another one.
+        /// The statement of another transaction.
         statement: Statement,
     },
-    /// A transaction went on on another connection than it began on, or after its end.
-    #[error("{} went on on connection {} of {}, where it was not open", statement.transaction, statement.connection, statement.database)]
+    /// A transaction continued on another connection than the one it began on, or after its end.
+    #[error(
+        "{} continued on connection {} of {}, where it was not open",
+        statement.transaction, statement.connection, statement.database
+    )]
     TransactionMoved {
-        /// The statement with which it went on.
+        /// The statement with which the transaction continued.
         statement: Statement,
     },
-    /// A leaving database received new work too late.
-    #[error("{} was leaving and received {} after the time allowed", statement.database, statement.transaction)]
+    /// A transaction began at a leaving database after [`CheckSettings::leaving_grace`].
+    ///
+    /// [`CheckSettings::leaving_grace`]: super::CheckSettings::leaving_grace
+    #[error("{} was leaving, but {} began there after the grace period", statement.database, statement.transaction)]
     WorkAfterLeaving {
-        /// The new work.
+        /// The first statement of the transaction.
         statement: Statement,
     },
     /// A planned stop cut off requests in flight.
@@ -102,39 +115,39 @@
     StopCutOff {
         /// The node.
         node: NodeName,
-        /// How many requests.
+        /// Number of requests that were cut off.
         cut_off: u64,
     },
-    /// A node went back to an older configuration.
-    #[error("{node} went back from revision {from:?} to {to:?}")]
+    /// A node returned to an older configuration.
+    #[error("{node} returned from revision {from:?} to the older {to:?}")]
     ConfigurationReverted {
         /// The node.
         node: NodeName,
-        /// The newest revision it had in force.
+        /// The newest revision that the node had in force.
         from: Revision,
-        /// The older revision.
+        /// The older revision that it returned to.
         to: Revision,
     },
-    /// One revision has two contents.
-    #[error("revision {revision:?} has two contents")]
+    /// One revision has different contents at different places.
+    #[error("revision {revision:?} has two different contents")]
     ConfigurationForked {
         /// The revision.
         revision: Revision,
     },
-    /// A change that was told to be refused is in force.
+    /// A change is in force, though its operator was told that it was refused.
     #[error("revision {revision:?} is in force, though its operator was told that it was refused")]
     RefusedInForce {
         /// The revision.
         revision: Revision,
     },
-    /// A node did not get the newest accepted configuration.
-    #[error("{node} ended with revision {revision:?}, short of {accepted:?}, the newest accepted")]
+    /// A node ended without the newest accepted configuration.
+    #[error("{node} ended with revision {revision:?}, but {accepted:?} is the newest accepted one")]
     ConfigurationMissed {
         /// The node.
         node: NodeName,
-        /// What it ended with.
+        /// The revision that the node ended with.
         revision: Revision,
-        /// The newest accepted.
+        /// The newest accepted revision.
         accepted: Revision,
     },
 }
