--- a/crates/dyketally/src/policy.rs
+++ b/crates/dyketally/src/policy.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, with templates already filled in: what the request path reads.
+//! The resolved configuration, with templates filled in, as the request path reads it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,16 +8,16 @@
 
 use crate::identifiers::{DatabaseName, GroupName, Locality, TenantName};
 
-/// Number of the newest change that a configuration contains. Never goes back on a node.
+/// Number of the newest change that a configuration contains. It never decreases on a node.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision(pub u64);
 
-/// Everything the request path needs, as of one revision.
+/// All resolved policies of one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySet {
-    /// The revision this was resolved from.
+    /// The revision of the documents that the policies were resolved from.
     pub revision: Revision,
     /// Database groups by name.
     pub groups: BTreeMap<GroupName, GroupPolicy>,
@@ -43,11 +43,12 @@
 pub struct GroupPolicy {
     /// The group's name.
     pub name: GroupName,
-    /// Its databases, in the order of the configuration.
+    /// The group's databases, in the order of the configuration.
     pub members: Vec<DatabasePolicy>,
-    /// The statement that yields role, term, log term and offset in one row of four text columns.
+    /// The statement that returns a database's role, term, log term and log offset in one row of four
+    /// text columns.
     pub status_statement: String,
-    /// The table that holds request keys of recorded statements.
+    /// The table that holds the request keys of recorded statements ([`Repeat::Recorded`]).
     pub ledger_table: String,
 }
 
@@ -56,26 +57,26 @@
 pub struct DatabasePolicy {
     /// The database's name.
     pub name: DatabaseName,
-    /// Where it accepts connections.
+    /// The address at which the database accepts connections.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// The region and zone in which the database runs.
     pub locality: Locality,
-    /// Connections that it grants to dyketally as a whole.
+    /// Most connections that all dyketally nodes together may open to the database.
     pub connection_limit: u32,
-    /// Statements that it runs at one time.
+    /// Most statements that the database may run at the same time.
     pub slots: u32,
 }
 
-/// One tenant, with its template filled in.
+/// One tenant, as its template filled in with its arguments defines it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantPolicy {
     /// The tenant's name: the user name with which its callers connect.
     pub name: TenantName,
-    /// The groups it may use, by the database name with which its callers connect.
+    /// The groups that the tenant may use, by the database name with which its callers connect.
     pub databases: BTreeMap<String, GroupName>,
-    /// Share of slot time relative to other tenants; at least 1.
+    /// Share of the slots' time relative to other tenants; at least 1.
     pub weight: u32,
-    /// Statements that may wait at one home.
+    /// Most statements of the tenant that may wait at one home.
     pub queue_limit: u32,
     /// Rules that classify statements; the first that matches decides.
     pub rules: Vec<StatementRule>,
@@ -83,31 +84,32 @@
     pub confirmation: Confirmation,
 }
 
-/// How a write is confirmed between the primary's reply and the caller's.
+/// How a write is confirmed after the primary's reply, before the caller gets one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Confirmation {
-    /// A majority reports no higher term and holds the write's position.
+    /// A majority of the group reports no higher term and has the write's position in its logs.
     #[default]
     MajorityPosition,
-    /// A majority reports no higher term. An acknowledged write can be lost with its primary.
+    /// A majority of the group reports no higher term. An acknowledged write is lost if its primary is
+    /// lost before the write is replicated.
     MajorityTerm,
 }
 
-/// Classifies the statements that match.
+/// A rule that sets the policy of all statements that its matcher matches.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatementRule {
-    /// What the statement is matched by.
+    /// Which statements the rule matches.
     pub matcher: StatementMatcher,
-    /// How a matching statement is treated.
+    /// How the matching statements are treated.
     pub policy: StatementPolicy,
 }
 
-/// How a rule recognises a statement. No SQL is parsed.
+/// Which statements a rule matches. SQL is not parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StatementMatcher {
-    /// The statement starts with this text; letter case and leading white space don't count.
+    /// The statement starts with this text; letter case and leading white space are ignored.
     Prefix(String),
     /// The statement starts with the comment `/* dyketally:<label> */`.
     Comment(String),
@@ -118,13 +120,13 @@
 /// How a statement is treated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatementPolicy {
-    /// Whether it reads or writes.
+    /// Whether the statement reads or writes.
     pub access: Access,
-    /// Whether it passes other statements of its own tenant.
+    /// Whether the statement overtakes other statements of its own tenant.
     pub urgency: Urgency,
-    /// Whether it may be sent again.
+    /// Whether the statement may be sent again.
     pub repeat: Repeat,
-    /// Time from its arrival at the edge until its final answer.
+    /// Longest time from the statement's arrival at the edge until its final answer.
     pub deadline: Duration,
 }
 
@@ -132,22 +134,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Access {
-    /// Changes nothing; any database that is fresh enough may serve it.
+    /// The statement changes nothing; any database that is fresh enough may serve it.
     Read,
-    /// Runs at the primary and is confirmed.
+    /// The statement runs at the primary and is confirmed before it is acknowledged.
     Write,
 }
 
-/// Order among the statements of one tenant.
+/// Order in which the waiting statements of one tenant run.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// In order of arrival.
+    /// Normal statements run in the order of their arrival.
     #[default]
     Normal,
-    /// Before the tenant's normal statements; never on another tenant's share.
+    /// Urgent statements run before the tenant's normal ones, within the tenant's own share of slots.
     Urgent,
 }
 
@@ -155,11 +157,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// Runs at most once: never sent again after it may have reached a database.
+    /// The statement runs at most once: it is not sent again if it may have reached a database.
     #[default]
     Never,
-    /// Running it twice does no harm.
+    /// Running the statement twice does no harm.
     Repeatable,
-    /// Made safe to repeat by a request key that is recorded in the same transaction.
+    /// A request key that is recorded in the statement's transaction makes it safe to send again.
     Recorded,
 }
--- a/crates/dyketally/src/route_policy.rs
+++ b/crates/dyketally/src/route_policy.rs
@@ -1,4 +1,5 @@
-//! Routes from the database that a caller names to the group that serves it, as of one revision.
+//! Routes of one revision: each leads from the database name that callers use to the group that serves
+//! it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,29 +11,29 @@
 use crate::policy::Revision;
 use crate::tenant::{ApiKey, OperationRate, Tenant, TenantDirectory};
 
-/// How the statements of one named database are treated.
+/// How statements for one database name are routed and limited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutePolicy {
     /// The route's name, for logs.
     pub name: String,
-    /// The group that serves it.
+    /// The group that serves the route.
     pub group: GroupName,
-    /// What its reads have to see.
+    /// Consistency that the route's reads require.
     pub consistency: ReadConsistency,
     /// Longest time from a statement's arrival to its answer.
     pub statement_timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Target time from a statement's arrival to its answer. Later answers have less value.
     pub latency_objective: Duration,
-    /// Rank under scarcity; 0 goes first.
+    /// Rank when capacity is scarce; 0 is served first.
     pub priority: u32,
-    /// True when callers need no key.
+    /// True when callers of this route need no key.
     pub auth_exempt: bool,
-    /// Regions that serve it.
+    /// Regions that may serve the route.
     pub regions: ServingRegions,
 }
 
 impl RoutePolicy {
-    /// Regions that serve `tenant` on this route: those that both allow.
+    /// Regions that may serve `tenant` on this route: those that both the route and the tenant allow.
     pub fn regions_for(&self, tenant: Option<&Tenant>) -> ServingRegions {
         match tenant {
             Some(tenant) => self.regions.and(&tenant.regions),
@@ -41,43 +42,43 @@
     }
 }
 
-/// No tenant has the caller's key.
+/// The caller's key belongs to no tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no tenant has this key; use one that the configuration lists")]
 pub struct UnknownKey;
 
-/// What holds for all databases of a group.
+/// Limits that apply to each database of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupLimits {
-    /// Connections that one database grants to all proxies together.
+    /// Most connections that all proxies together may open to one database.
     pub connection_limit: u32,
-    /// Replicas that must have received a commit before it is acknowledged.
+    /// Number of replicas that must have received a commit before it is acknowledged.
     pub acknowledging_replicas: u32,
-    /// How its databases start; `None` where they bear their full load at once.
+    /// Load limit after a database's start; `None` if its databases can take their full load at once.
     pub slow_start: Option<SlowStart>,
 }
 
-/// How databases of a group come to bear their full load.
+/// Load limit of a group's databases after their start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStart {
-    /// For how long a database is cold after its start.
+    /// Time after its start during which a database is cold.
     pub cold_for: Duration,
-    /// Requests that a cold database bears.
+    /// Rate of requests that a cold database can take.
     pub rate: OperationRate,
 }
 
 /// All routes and groups of one revision.
 #[derive(Clone, Debug, Default)]
 pub struct RouteSet {
-    /// The revision; a node never goes back to a smaller one.
+    /// The revision of the configuration; it never decreases on a node.
     pub revision: Revision,
     /// Routes by the database name that callers use.
     pub routes: BTreeMap<String, RoutePolicy>,
     /// Groups by name.
     pub groups: BTreeMap<GroupName, GroupLimits>,
-    /// How long a transaction may rest between two statements; `None` for as long as it likes.
+    /// Longest time that a transaction may be idle between two statements; `None` if without limit.
     pub transaction_idle: Option<Duration>,
-    /// Tenants and their keys; `None` where callers need no key.
+    /// Tenants and their keys; `None` if callers need no key on any route.
     pub tenants: Option<Arc<TenantDirectory>>,
 }
 
@@ -92,10 +93,11 @@
         !self.routes.is_empty() && self.routes.values().all(|route| self.needs_key(route))
     }
 
-    /// The tenant that a caller with `key` acts for on `route`; `None` where callers need no key.
+    /// The tenant that a caller with `key` acts for on `route`; `None` if callers of the route need no
+    /// key.
     ///
     /// # Errors
-    /// No tenant has the key.
+    /// When the route needs a key and `key` belongs to no tenant.
     pub fn identify(
         &self,
         route: &RoutePolicy,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The regions that routes and tenants name.
+    /// All regions that routes or tenants name.
     pub fn named_regions(&self) -> BTreeSet<RegionName> {
         let routes = self.routes.values();
         let routes = routes.flat_map(|route| route.regions.named());
@@ -119,7 +121,7 @@
         routes.chain(tenants).cloned().collect()
     }
 
-    /// True when some route or tenant isn't served everywhere.
+    /// True when some route or tenant may not be served in all regions.
     pub fn binds_regions(&self) -> bool {
         let routes = self.routes.values();
         let mut routes = routes.map(|route| &route.regions);
@@ -129,8 +131,9 @@
             || tenants.any(|regions| !regions.is_anywhere())
     }
 
-    /// What may ask for the primary of `group`, by the regions that serve it. Tenants weigh by their
-    /// rates; bounded reads don't count, since replicas serve them.
+    /// The sources of demand for the primary of `group`, each with the regions that may serve it. Tenants
+    /// are weighted by their rates. Routes with bounded staleness are left out, because replicas serve
+    /// their reads.
     pub fn demands(&self, group: &GroupName) -> Vec<Demand> {
         let routes = self.routes.values().filter(|route| {
             &route.group == group
@@ -152,7 +155,7 @@
         by_route.flatten().collect()
     }
 
-    /// The longest staleness bound of any route of `group`.
+    /// The longest staleness bound among the routes of `group`; zero if none has a bound.
     pub fn longest_bound(&self, group: &GroupName) -> Duration {
         let routes = self.routes.values().filter(|route| &route.group == group);
         let bounds = routes.filter_map(|route| match route.consistency {
--- a/crates/dyketally/src/routing/mod.rs
+++ b/crates/dyketally/src/routing/mod.rs
@@ -1,6 +1,7 @@
-//! Routing: which database an edge asks, and whether a home serves, waits or sends on.
+//! Routing: an edge selects the database to ask; the database's home serves, delays or redirects the
+//! request.
 //!
-//! An edge's routes are guesses, corrected by the homes' redirects. Only homes decide whether a
+//! An edge's routes are guesses, corrected by the homes' redirects. Only a home decides whether its
 //! database may serve a request.
 
 mod serve;
--- a/crates/dyketally/src/routing/serve.rs
+++ b/crates/dyketally/src/routing/serve.rs
@@ -1,4 +1,4 @@
-//! A home's decision whether its database may serve a request.
+//! A home's decision whether its database may serve a request: serve, wait or redirect.
 
 use std::time::Duration;
 
@@ -8,12 +8,13 @@
 use crate::session::Freshness;
 use crate::time::Timestamp;
 
-/// Bounds on how long a home holds a read for a replica that is behind.
+/// Limits on how long a home holds a read while its replica lacks the read's position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServeSettings {
-    /// Longest wait for a replica to reach a read's position; then the primary serves the read.
+    /// Longest wait for a replica to reach a read's position, counted from the read's arrival. After it
+    /// the read is redirected to the primary.
     pub replica_wait: Duration,
-    /// Time between two questions to a replica that is behind.
+    /// Time between two status requests to a replica that lacks a read's position.
     pub ask_interval: Duration,
 }
 
@@ -26,7 +27,7 @@
     }
 }
 
-/// A request at the home of `database`, with the connection that would run it.
+/// A request that has arrived at the home of `database`, with the connection that would run it.
 #[derive(Clone, Copy, Debug)]
 pub struct ServeRequest<'a> {
     /// The home's own database.
@@ -37,39 +38,42 @@
     pub freshness: Freshness,
     /// When the request arrived at the home.
     pub arrived_at: Timestamp,
-    /// When the connection that would run it was opened, on the clock of [`SeenStatus::asked_at`];
-    /// `None` while there is none. Reads that need a position need a connection first.
+    /// When the connection that would run the request was opened, on the same clock as
+    /// [`SeenStatus::asked_at`]; `None` without a connection. A read that needs a position must have a
+    /// connection before the status is requested.
     pub connection_opened_at: Option<Timestamp>,
 }
 
-/// What the home does with the request now.
+/// What the home does next with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServeDecision {
-    /// Run it. A write is still to be confirmed.
+    /// Run the request. A write must still be confirmed before it is acknowledged.
     Serve,
-    /// Run it, and hold the reply until a round that begins now confirms this term.
+    /// Run the request, and hold the reply until a confirmation round that begins now confirms this
+    /// term.
     ServeConfirmed {
-        /// The term in which the database leads.
+        /// The term in which the database is the primary.
         term: Term,
     },
-    /// Ask the database for its status, then decide again.
+    /// Request the database's status, then decide again.
     AskStatus,
-    /// The database is behind: ask for its status at this time, then decide again.
+    /// The database lacks the position: request its status at this time, then decide again.
     WaitUntil(Timestamp),
-    /// Another database must serve it.
+    /// Another database must serve the request.
     Redirect {
-        /// The primary as this home knows it.
+        /// The primary as far as this home knows; `None` if it knows none.
         primary: Option<DatabaseName>,
-        /// The term in which it leads, or the highest term known when there is none.
+        /// The primary's term, or the highest known term if no primary is known.
         term: Term,
     },
 }
 
-/// Decides about `request` by what is known of the group at `now`.
+/// Decides what to do with `request` according to the group's state at `now`.
 ///
-/// A status that shows a database fresh enough stays true for as long as the database runs: a
-/// confirmed write never leaves a log. A restart may lose the log, but breaks the connections
-/// that were open before; so the status must not be older than the connection that is used.
+/// A status that shows a database to be fresh enough stays valid while the database runs, because a
+/// confirmed write is never removed from a log. A restart may lose the log, but it also closes the
+/// connections that were open before. So the status must have been requested after the connection
+/// was opened.
 pub fn decide(
     view: &GroupView,
     request: ServeRequest<'_>,
@@ -85,19 +89,21 @@
             match seen.filter(|seen| covers_connection(*seen, request)) {
                 None => ServeDecision::AskStatus,
                 Some(seen) if seen.status.log.contains(position) => ServeDecision::Serve,
-                Some(seen) => behind(view, request, settings, seen, now),
+                Some(seen) => decide_for_stale(view, request, settings, seen, now),
             }
         }
     }
 }
 
+/// True when the status was requested after the connection was opened.
 fn covers_connection(seen: SeenStatus, request: ServeRequest<'_>) -> bool {
     request
         .connection_opened_at
         .is_some_and(|opened_at| seen.asked_at >= opened_at)
 }
 
-fn behind(
+/// Decides about a read whose position the database's log lacked in the status `seen`.
+fn decide_for_stale(
     view: &GroupView,
     request: ServeRequest<'_>,
     settings: ServeSettings,
@@ -108,7 +114,8 @@
         .primary()
         .is_some_and(|(primary, _)| &primary == request.database);
     if leads {
-        // The position may never have been confirmed and be gone; the primary decides.
+        // The position may never have been confirmed and be lost. A confirmed primary has all writes
+        // that were, so it serves the read.
         return serve_current(view, request.database);
     }
     if seen.asked_at < request.arrived_at {
--- a/crates/dyketally/src/routing/table.rs
+++ b/crates/dyketally/src/routing/table.rs
@@ -1,4 +1,5 @@
-//! An edge's guesses: who leads each group, and which databases can't be reached.
+//! An edge's routing table: the presumed primary of each group, and the databases that were recently
+//! unreachable or behind.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,20 +11,20 @@
 use crate::session::Freshness;
 use crate::time::Timestamp;
 
-/// Bounds on how an edge looks for a database that serves a request.
+/// Limits on an edge's search for a database that serves a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteSettings {
-    /// Databases asked one after the other without a pause.
+    /// Hops (databases asked for one request) before the first pause.
     pub hops_without_pause: u32,
-    /// Databases asked for one request in all.
+    /// Most hops for one request.
     pub hop_limit: u32,
-    /// Pause between further databases; doubles up to [`Self::longest_pause`].
+    /// The first pause; it doubles with each further hop up to [`Self::longest_pause`].
     pub first_pause: Duration,
-    /// Longest pause.
+    /// Longest pause between two hops.
     pub longest_pause: Duration,
-    /// How long a database that couldn't be reached is passed over.
+    /// Time for which a database that couldn't be reached is ranked behind all reachable ones.
     pub unreachable_for: Duration,
-    /// How long a replica that was too far behind for a read comes after the others.
+    /// Time for which a replica that lacked a read's position is ranked behind the other replicas.
     pub behind_for: Duration,
 }
 
@@ -40,52 +41,56 @@
     }
 }
 
-/// What a route is wanted for.
+/// A request for which a route is to be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
-    /// The group, as configured.
+    /// The group that serves the request, as configured.
     pub group: &'a GroupPolicy,
     /// Whether the request reads or writes.
     pub access: Access,
-    /// How fresh a database must be.
+    /// How fresh the database must be.
     pub freshness: Freshness,
     /// Where the edge runs.
     pub locality: &'a Locality,
 }
 
-/// Where one request has been sent so far. Kept by the edge while the request lasts.
+/// The hops of one request so far. The edge keeps it until the request ends.
 #[derive(Clone, Debug, Default)]
 pub struct Attempt {
     hops: u32,
     paused_until: Option<Timestamp>,
-    /// All replicas were too far behind: the primary must serve the request.
+    /// The primary must serve the request: a home redirected it, or no replica is fresh enough.
     needs_primary: bool,
-    /// Asked since the last time that all members were asked.
+    /// The members asked in the current pass over the group. A new pass begins when all have been
+    /// asked.
     asked: Vec<DatabaseName>,
 }
 
-/// What the edge does next.
+/// What the edge does next with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
     /// Send the request to this database's home.
     Send(DatabaseName),
-    /// Choose again at this time.
+    /// Call [`RouteTable::choose`] again at this time.
     Wait(Timestamp),
-    /// Give up: nothing was run.
+    /// Fail the request, which was not run.
     GiveUp(NotRunReason),
 }
 
+/// What the edge knows of one group.
 #[derive(Clone, Debug, Default)]
 struct GroupRoutes {
+    /// The presumed primary.
     primary: Option<DatabaseName>,
-    /// The highest term that a redirect named.
+    /// The highest term reported so far.
     term: Term,
     unreachable_until: HashMap<DatabaseName, Timestamp>,
     behind_until: HashMap<DatabaseName, Timestamp>,
-    reads: usize,
+    /// Number of choices among databases of equal rank so far; rotates between them.
+    rotation: usize,
 }
 
-/// Cached routes of one edge.
+/// Routes of one edge, as last reported by homes and databases.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     settings: RouteSettings,
@@ -99,12 +104,12 @@
         Self { settings, groups }
     }
 
-    /// The primary as last heard of.
+    /// The primary of `group` as last reported.
     pub fn primary(&self, group: &GroupName) -> Option<&DatabaseName> {
         self.groups.get(group)?.primary.as_ref()
     }
 
-    /// Chooses the database to ask next for a request that was sent along `attempt` so far.
+    /// Chooses the next database for a request whose hops so far are in `attempt`.
     pub fn choose(
         &mut self,
         request: RouteRequest<'_>,
@@ -133,7 +138,7 @@
         Route::Send(chosen)
     }
 
-    /// Notes that a home sent the request on to `primary`, which leads in `term`.
+    /// Records that a home redirected the request to `primary`, which leads in `term`.
     pub fn redirected(
         &mut self,
         group: &GroupName,
@@ -149,8 +154,8 @@
         }
     }
 
-    /// Notes that `replica` was too far behind to serve a read. Another replica is asked next,
-    /// unless each was asked for this read or was behind a moment ago: then the primary is.
+    /// Records that `replica` lacked a read's position. Another replica is asked next; if each was
+    /// already asked for this read, is unreachable or was recently behind, the primary is.
     pub fn behind(
         &mut self,
         request: RouteRequest<'_>,
@@ -170,7 +175,8 @@
         attempt.needs_primary = !another;
     }
 
-    /// Notes who leads `group` in `term`, from whatever source. Earlier terms are not news.
+    /// Records the primary of `group` in `term`. Reports of a lower term than the highest known one are
+    /// ignored.
     pub fn learn_primary(&mut self, group: &GroupName, primary: Option<DatabaseName>, term: Term) {
         let routes = self.groups.entry(group.clone()).or_default();
         if term > routes.term || (term == routes.term && primary.is_some()) {
@@ -179,8 +185,9 @@
         }
     }
 
-    /// Notes that `database` ran a write, so that it leads for all that is known. Without this, an
-    /// edge whose first guess was right would never know the primary, and read from it.
+    /// Records that `database` ran a write, so that it is presumed to be the primary. Without this, an
+    /// edge whose first guess was right gets no redirect, doesn't know the primary, and would send it
+    /// reads that replicas should serve.
     pub fn served_write(&mut self, group: &GroupName, database: &DatabaseName) {
         let routes = self.groups.entry(group.clone()).or_default();
         if routes.primary.as_ref() != Some(database) {
@@ -188,20 +195,21 @@
         }
     }
 
-    /// Notes that `database`, or its home, can't be reached.
+    /// Records that `database` or its home can't be reached.
     pub fn unreachable(&mut self, group: &GroupName, database: &DatabaseName, now: Timestamp) {
         let until = now + self.settings.unreachable_for;
         let routes = self.groups.entry(group.clone()).or_default();
         routes.unreachable_until.insert(database.clone(), until);
     }
 
-    /// Notes that `database` answered.
+    /// Records that `database` answered.
     pub fn reachable(&mut self, group: &GroupName, database: &DatabaseName) {
         if let Some(routes) = self.groups.get_mut(group) {
             routes.unreachable_until.remove(database);
         }
     }
 
+    /// Records the hop to `chosen`, and sets the pause before the next hop.
     fn count_hop(
         &self,
         attempt: &mut Attempt,
@@ -213,7 +221,7 @@
         attempt.asked.push(chosen.clone());
         if attempt.asked.len() >= members {
             attempt.asked.clear();
-            // The last one asked is not asked again at once.
+            // The next pass must not begin with the database that was asked last.
             attempt.asked.push(chosen.clone());
         }
         let Some(doublings) = attempt.hops.checked_sub(self.settings.hops_without_pause) else {
@@ -226,7 +234,8 @@
 }
 
 impl GroupRoutes {
-    /// The primary as guessed, unless it has just been asked; else the nearest other member.
+    /// The presumed primary, unless it was asked in this pass or is unreachable; else the nearest other
+    /// member.
     fn choose_primary(
         &mut self,
         request: RouteRequest<'_>,
@@ -243,7 +252,7 @@
         }
     }
 
-    /// A replica: one of the nearest, in turn. The primary only when nothing else is left.
+    /// The nearest replica, in rotation between equals. The primary only if no other member is left.
     fn choose_reader(
         &mut self,
         request: RouteRequest<'_>,
@@ -256,6 +265,8 @@
         })
     }
 
+    /// The member of the best rank: reachable, not yet asked in this pass, `preferred`, not behind and
+    /// near, in this order of importance. Rotates between members of equal rank.
     fn choose_nearest(
         &mut self,
         request: RouteRequest<'_>,
@@ -279,8 +290,8 @@
         let best = request.group.members.iter().map(&rank).min();
         let equals = request.group.members.iter();
         let equals: Vec<_> = equals.filter(|member| Some(rank(member)) == best).collect();
-        let chosen = equals[self.reads % equals.len()].name.clone();
-        self.reads = self.reads.wrapping_add(1);
+        let chosen = equals[self.rotation % equals.len()].name.clone();
+        self.rotation = self.rotation.wrapping_add(1);
         chosen
     }
 
@@ -295,7 +306,7 @@
     }
 }
 
-/// How far a database is from the edge. In order of preference.
+/// How far a database is from the edge, from the nearest to the farthest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     SameZone,
--- a/crates/dyketally/src/session/mod.rs
+++ b/crates/dyketally/src/session/mod.rs
@@ -1,4 +1,5 @@
-//! A session as its edge keeps it: what it has seen, and the transaction it has open.
+//! Sessions as their edges keep them: the newest log position that a session has seen, and its open
+//! transaction.
 
 mod state;
 mod token;
@@ -13,21 +14,22 @@
 /// How fresh a database must be to serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Freshness {
-    /// Only the primary, confirmed to lead by a round that began after the request arrived.
+    /// Only the primary may serve the request, after a confirmation round that began after the request
+    /// arrived.
     Current,
-    /// Any database whose log contains this position.
+    /// Any database whose log contains this position may serve the request.
     AtLeast(LogPosition),
-    /// Any database.
+    /// Any database may serve the request.
     Any,
 }
 
 /// The state of the session's transaction after a batch, as `ReadyForQuery` reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TransactionStatus {
-    /// No transaction; the connection went back to the pool.
+    /// No transaction is open; the connection has returned to the pool.
     Idle,
-    /// In a transaction; the connection stays pinned to the session.
+    /// A transaction is open; the connection stays pinned to the session.
     Open,
-    /// In a failed transaction; the connection stays pinned until it is rolled back.
+    /// The transaction has failed; the connection stays pinned until it is rolled back.
     Failed,
 }
--- a/crates/dyketally/src/session/state.rs
+++ b/crates/dyketally/src/session/state.rs
@@ -1,13 +1,13 @@
-//! The edge's record of one caller's session.
+//! State of one caller's session at its edge.
 
 use super::{Freshness, SessionToken, TransactionStatus};
 use crate::group::LogPosition;
 use crate::identifiers::{DatabaseName, GroupName};
 
-/// The open transaction of a session: pinned to one connection at one database's home.
+/// The open transaction of a session, pinned to one connection at the home of one database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TransactionPin {
-    /// Number of the transaction; never repeated within the session.
+    /// Number of the transaction, unique within the session.
     pub number: u64,
     /// The database whose home holds the connection.
     pub database: DatabaseName,
@@ -17,6 +17,7 @@
 #[derive(Clone, Debug)]
 pub struct Session {
     group: GroupName,
+    /// The newest position that the session has seen; `None` before the first.
     seen: Option<LogPosition>,
     pin: Option<TransactionPin>,
     next_transaction: u64,
@@ -33,15 +34,16 @@
         }
     }
 
-    /// The group that the session works with.
+    /// The group that serves the session.
     pub fn group(&self) -> &GroupName {
         &self.group
     }
 
-    /// Takes a token that the caller brought along. A token never takes the session back.
+    /// Applies a token that the caller sent. A token with an older position than the session's own has
+    /// no effect.
     ///
-    /// A token of another group says nothing about this one: what was seen is forgotten, so that
-    /// the next read is served by the confirmed primary.
+    /// A token of another group holds no position of this one, so the session's position is reset and
+    /// the confirmed primary serves the next read.
     pub fn offer(&mut self, token: &SessionToken) {
         if token.group == self.group {
             self.advance(Some(token.seen));
@@ -50,12 +52,13 @@
         }
     }
 
-    /// Forgets what was seen: the next read is served by the confirmed primary.
+    /// Forgets the position that the session has seen, so that the confirmed primary serves the next
+    /// read.
     pub fn reset(&mut self) {
         self.seen = None;
     }
 
-    /// The token that the caller should carry; `None` until something was seen.
+    /// The token for the caller to keep; `None` while the session hasn't seen a position.
     pub fn token(&self) -> Option<SessionToken> {
         let group = self.group.clone();
         self.seen.map(|seen| SessionToken { group, seen })
@@ -66,14 +69,13 @@
         self.seen.map_or(Freshness::Current, Freshness::AtLeast)
     }
 
-    /// The open transaction, if there is one.
+    /// The session's open transaction, if there is one.
     pub fn pin(&self) -> Option<&TransactionPin> {
         self.pin.as_ref()
     }
 
-    /// Records a batch that `database` has answered.
-    ///
-    /// `seen` is the position that the home reported with it.
+    /// Records that `database` answered a batch. `seen` is the position that the home reported with the
+    /// answer.
     pub fn done(
         &mut self,
         database: &DatabaseName,
@@ -83,16 +85,17 @@
         self.advance(seen);
         match transaction {
             TransactionStatus::Idle => self.pin = None,
-            TransactionStatus::Open | TransactionStatus::Failed => self.hold(database),
+            TransactionStatus::Open | TransactionStatus::Failed => self.pin_transaction(database),
         }
     }
 
-    /// Records that the transaction is gone: rolled back, of unknown outcome, or its home was lost.
+    /// Ends the open transaction, because it was rolled back, its outcome is unknown, or its home was
+    /// lost. Returns its pin.
     pub fn transaction_lost(&mut self) -> Option<TransactionPin> {
         self.pin.take()
     }
 
-    fn hold(&mut self, database: &DatabaseName) {
+    fn pin_transaction(&mut self, database: &DatabaseName) {
         if self.pin.is_some() {
             return;
         }
--- a/crates/dyketally/src/session/token.rs
+++ b/crates/dyketally/src/session/token.rs
@@ -1,4 +1,4 @@
-//! Session token: what a caller carries so that any edge can let it read its own writes.
+//! Session token: a text that a caller keeps, by which any edge lets it read its own writes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,29 +8,30 @@
 use crate::group::{LogPosition, Term};
 use crate::identifiers::GroupName;
 
-/// The newest write (or primary read) that a session has seen, in one group.
+/// The newest log position that a session has seen by its writes and primary reads in one group.
 ///
-/// Text form, as callers carry it: `v1:<group>:<term>:<offset>`.
+/// Its text form is `v1:<group>:<term>:<offset>`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SessionToken {
     /// The group in which the position is valid.
     pub group: GroupName,
-    /// A database must contain this position to serve the session's reads.
+    /// The position that a database's log must contain to serve the session's reads.
     pub seen: LogPosition,
 }
 
-/// A token that can't be read.
+/// The caller's text isn't a session token.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "session token {text:?} is malformed; pass the value of the parameter `dyketally.session` \
      unchanged, or leave it out to read from the primary"
 )]
 pub struct MalformedToken {
-    /// The text that was offered, cut to a printable length.
+    /// The caller's text, cut to [`LONGEST_QUOTED_TOKEN`] characters.
     pub text: String,
 }
 
 const VERSION_TAG: &str = "v1";
+/// Longest token quoted in a message, in characters.
 const LONGEST_QUOTED_TOKEN: usize = 80;
 
 impl fmt::Display for SessionToken {
--- a/crates/dyketally/src/statement.rs
+++ b/crates/dyketally/src/statement.rs
@@ -1,4 +1,4 @@
-//! Statements, replies and failures as the gateway sees them, whatever protocol carries them.
+//! Statements, failures and database status in the form that the gateway uses for all protocols.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,57 +8,58 @@
 /// What a statement does. The protocol adapter derives it from the statement's text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementKind {
-    /// Opens a transaction.
+    /// Begins a transaction.
     Begin {
         /// True when the transaction promises not to write, so that a replica may serve it.
         read_only: bool,
     },
     /// Ends the transaction and keeps its writes.
     Commit,
-    /// Ends the transaction and drops its writes.
+    /// Ends the transaction and discards its writes.
     Rollback,
-    /// Reads.
+    /// Reads data.
     Read,
-    /// Writes.
+    /// Writes data.
     Write,
-    /// Sets a value of the session.
+    /// Sets a variable of the session.
     Set {
-        /// The value's name.
+        /// The variable's name.
         name: String,
-        /// The value.
+        /// The variable's new value.
         value: String,
     },
     /// Prepares a statement under a name of the session.
     Prepare {
-        /// The session's name for it.
+        /// The session's name for the prepared statement.
         name: String,
-        /// What is prepared.
+        /// The prepared statement itself.
         prepared: PreparedStatement,
     },
     /// Runs a prepared statement.
     Execute {
-        /// The session's name for it.
+        /// The session's name for the prepared statement.
         name: String,
-        /// Its arguments, as the caller wrote them.
+        /// The arguments, as the caller wrote them.
         arguments: String,
     },
-    /// Forgets a prepared statement.
+    /// Deallocates a prepared statement.
     Deallocate {
-        /// The session's name for it.
+        /// The session's name for the prepared statement.
         name: String,
     },
 }
 
-/// A prepared statement without its name: equal ones can share a name on a connection.
+/// A prepared statement without its name. Sessions with equal prepared statements can share one of them
+/// on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PreparedStatement {
-    /// Whether it reads or writes.
+    /// Whether the statement reads or writes.
     pub access: Access,
-    /// The statement's text, opaque.
+    /// The statement's text, which is not parsed.
     pub shape: String,
 }
 
-/// Where a session or a connection stands with respect to transactions.
+/// Whether a session or a connection has an open transaction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransactionState {
     /// No transaction is open.
@@ -73,51 +74,52 @@
 /// Why a statement failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FailureKind {
-    /// No route leads to the database that the caller named.
+    /// No route has the database name that the caller used.
     UnknownDatabase,
-    /// No tenant has the caller's key.
+    /// The caller's key belongs to no tenant.
     Unauthenticated,
-    /// The node can't know whether the caller's key still stands.
+    /// The node can't tell whether the caller's key is still valid: its configuration was confirmed too
+    /// long ago.
     KeyUncertain,
-    /// The tenant has used up the operations that it may ask for.
+    /// The tenant's quota of operations is used up.
     QuotaExceeded,
-    /// No database that may serve the statement is where its route and its tenant are served, or in
-    /// a zone that isn't evacuated.
+    /// No database that may serve the statement is in a region that serves both its route and its tenant,
+    /// or all such databases are in evacuated zones.
     NotServedHere,
     /// The database has no free slot.
     Busy,
-    /// No connection to the database was free in time.
+    /// No connection to the database became free in time.
     NoConnection,
-    /// So many wait for the database that the statement would have been late.
+    /// The queue for the database is so long that the statement would have run too late.
     QueueTooLong,
-    /// The database has just started and bears no more for now.
+    /// The database has started recently and takes no more requests for now.
     DatabaseCold,
-    /// The transaction was given up and nothing of it is kept.
+    /// The transaction was aborted and none of its writes are kept.
     Aborted,
-    /// The replica's log lacks the position asked for.
+    /// The replica's log lacks the position that the statement needs.
     ReplicaBehind,
-    /// The database doesn't lead its group.
+    /// The database isn't the primary of its group.
     ReadOnly,
-    /// The database isn't the one that was expected at this address.
+    /// Another database answered at the address than the expected one.
     WrongDatabase,
-    /// The database takes no further connections.
+    /// The database accepts no more connections.
     Overloaded,
     /// The statement may or may not have taken effect.
     InDoubt,
-    /// The statement ran out of time; it may have taken effect.
+    /// The statement exceeded its time limit; it may have taken effect.
     TimedOut,
     /// The database ran the statement and it failed.
     Failed,
-    /// The connection knows no prepared statement of that name.
+    /// The connection has no prepared statement of this name.
     UnknownPrepared,
-    /// The statement isn't valid where it stands.
+    /// The statement is malformed, or not allowed in the state of its session.
     Malformed,
-    /// A failure that the adapter has no kind for.
+    /// A failure for which the protocol adapter has no other kind.
     Other,
 }
 
 impl FailureKind {
-    /// True when the database didn't run the statement, so that another may be asked.
+    /// True when the database certainly didn't run the statement, so that it may be sent to another one.
     pub fn not_run(self) -> bool {
         matches!(
             self,
@@ -135,22 +137,22 @@
     }
 }
 
-/// A failure with what is told about it.
+/// A failure as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// The kind, for programs.
+    /// The kind of failure, for programs.
     pub kind: FailureKind,
     /// The explanation, for people.
     pub message: String,
 }
 
-/// What a database reports of itself.
+/// The status that a database reports about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatabaseStatus {
-    /// True when it believes that it leads its group.
+    /// True when the database considers itself the primary of its group.
     pub leads: bool,
-    /// Its term.
+    /// The database's current term.
     pub term: u64,
-    /// The end of the log it has received.
+    /// The end of the log that the database has received.
     pub received: LogPosition,
 }
--- a/crates/dyketally/src/tenant/api_key.rs
+++ b/crates/dyketally/src/tenant/api_key.rs
@@ -1,16 +1,16 @@
-//! The secret by which a caller proves its tenant.
+//! The secret key by which a caller authenticates as a tenant.
 
 use std::fmt;
 
 use secrecy::{ExposeSecret, SecretString};
 
-/// A caller's key. It can't be printed or sent on, it is compared in constant time, and its memory is
-/// overwritten when it is dropped; a [`TenantDirectory`](super::TenantDirectory) finds out whose it is.
+/// A caller's key. It can't be printed or serialised, is compared in constant time, and its memory is
+/// overwritten when it is dropped. A [`TenantDirectory`](super::TenantDirectory) finds the key's tenant.
 #[derive(Clone)]
 pub struct ApiKey(SecretString);
 
 impl ApiKey {
-    /// Takes over a key.
+    /// Wraps the text of a key.
     pub fn new(key: impl Into<String>) -> Self {
         Self(SecretString::from(key.into()))
     }
--- a/crates/dyketally/src/tenant/directory.rs
+++ b/crates/dyketally/src/tenant/directory.rs
@@ -1,4 +1,4 @@
-//! Which key belongs to which tenant, as of one revision of the configuration.
+//! The tenants of one revision of the configuration, found by key or by name.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -7,11 +7,11 @@
 use super::{ApiKey, Tenant};
 use crate::identifiers::TenantName;
 
-/// Length of the secret that digests are keyed with, in bytes.
+/// Length of the secret for keyed digests, in bytes.
 const SECRET_LENGTH: usize = 32;
 
-/// A key's digest. Digests are keyed with a secret of the process, so that neither a lookup's time
-/// nor a dump of the directory tells anything about keys.
+/// A key's digest. Digests are keyed with a random secret of the directory, so that neither the time of
+/// a lookup nor a dump of the digests reveals anything about keys.
 type Digest = [u8; blake3::OUT_LEN];
 
 /// A tenant with its keys, as the configuration lists it.
@@ -19,20 +19,20 @@
 pub struct TenantPolicy {
     /// The tenant.
     pub tenant: Tenant,
-    /// Its keys; none while all were taken away.
+    /// The tenant's keys; empty if all were removed.
     pub keys: Vec<ApiKey>,
 }
 
-/// What is wrong with a list of tenants.
+/// A fault in a list of tenants.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TenantError {
-    /// Two tenants have one name.
+    /// Two tenants have the same name.
     #[error("tenant {0} is listed twice; give each tenant a name of its own")]
     ListedTwice(TenantName),
-    /// Two tenants have one key.
+    /// Two tenants have the same key.
     #[error("tenants {0} and {1} share a key; give each tenant keys of its own")]
     SharedKey(TenantName, TenantName),
-    /// A key is empty.
+    /// A tenant has an empty key.
     #[error("tenant {0} has an empty key; remove it")]
     EmptyKey(TenantName),
 }
@@ -49,7 +49,7 @@
     /// The directory of `tenants`.
     ///
     /// # Errors
-    /// A name or a key stands for two tenants, or a key is empty.
+    /// When two tenants have the same name or the same key, or a key is empty.
     pub fn new(tenants: Vec<TenantPolicy>) -> Result<Self, TenantError> {
         let mut directory = Self {
             secret: rand::random(),
@@ -79,17 +79,17 @@
         Ok(())
     }
 
-    /// The tenant whose key it is.
+    /// The tenant that `key` belongs to.
     pub fn holder(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         self.by_key.get(&self.digest(key))
     }
 
-    /// The tenant of that name.
+    /// The tenant called `name`.
     pub fn tenant(&self, name: &TenantName) -> Option<&Arc<Tenant>> {
         self.by_name.get(name)
     }
 
-    /// All tenants, by name.
+    /// All tenants, in the order of their names.
     pub fn tenants(&self) -> impl Iterator<Item = &Tenant> {
         self.by_name.values().map(|tenant| &**tenant)
     }
@@ -99,7 +99,7 @@
         self.by_name.len()
     }
 
-    /// True without any tenant.
+    /// True when there are no tenants.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
--- a/crates/dyketally/src/tenant/key_trust.rs
+++ b/crates/dyketally/src/tenant/key_trust.rs
@@ -1,28 +1,29 @@
-//! Whether a node may still act on the keys that it knows.
+//! Decides whether a node may still serve operations by the keys in its configuration.
 //!
-//! Keys are taken away by a configuration, and a node that is out of touch doesn't hear of it. It may
-//! serve on by the configuration that it has, or refuse what needs a key once that configuration was
-//! confirmed too long ago.
+//! A new configuration may remove keys, and a node that is out of contact doesn't receive it. Such a
+//! node either goes on serving by the configuration that it has, or refuses operations that need a key
+//! once the last confirmation of its configuration is too old.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Share of the bound that is left for what is under way when trust ends: an operation that was
-/// admitted may still wait for a connection.
-const UNDER_WAY_SHARE: f64 = 0.3;
-/// Share of the time that keys are trusted between two confirmations at each step of their way to a
-/// node. A relay's watch of the store may be two such pauses old, and the node's question to the relay
-/// one more, so that one of them may be lost.
+/// Share of the bound that is reserved for operations in progress when trust in the keys ends: an
+/// admitted operation may still wait for a connection.
+const IN_PROGRESS_SHARE: f64 = 0.3;
+/// Interval between two confirmations, as a share of the time for which keys are trusted. It applies
+/// both between the store and a relay and between a relay and a node. A relay's watch of the store may
+/// be two intervals old and a node's request to the relay one interval, so one confirmation may be lost.
 const CONFIRMATION_SHARE: f64 = 0.2;
 
-/// What becomes of operations that need a key while it may have been taken away unnoticed.
+/// What a node does with operations that need a key when the key may have been removed without the
+/// node's knowledge.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum KeyPolicy {
-    /// They are served by the keys that were known last.
+    /// The node serves the operations by the keys it knows.
     #[default]
     Serve,
-    /// They are refused.
+    /// The node refuses the operations.
     Refuse {
         /// Longest time from a key's removal to the last operation that is served with it.
         bound: Duration,
@@ -30,31 +31,31 @@
 }
 
 impl KeyPolicy {
-    /// How long keys are trusted after they were confirmed; `None` for ever.
+    /// How long keys are trusted after a confirmation; `None` if without limit.
     pub fn trusted_for(self) -> Option<Duration> {
         match self {
             KeyPolicy::Serve => None,
-            KeyPolicy::Refuse { bound } => Some(bound.mul_f64(1.0 - UNDER_WAY_SHARE)),
+            KeyPolicy::Refuse { bound } => Some(bound.mul_f64(1.0 - IN_PROGRESS_SHARE)),
         }
     }
 
-    /// Longest pause between two confirmations; `None` where none are needed.
+    /// Longest interval between two confirmations; `None` if none are needed.
     pub fn confirmed_each(self) -> Option<Duration> {
         let trusted = self.trusted_for()?;
         Some(trusted.mul_f64(CONFIRMATION_SHARE))
     }
 }
 
-/// How current the keys are that a node knows.
+/// Tracks when a node's keys were last confirmed to be current.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyTrust {
     policy: KeyPolicy,
-    /// The configuration that the node has was the newest one at this time.
+    /// The latest time at which the node's configuration is known to have been the newest one.
     confirmed: Option<Timestamp>,
 }
 
 impl KeyTrust {
-    /// Nothing is confirmed yet.
+    /// The state of a node whose keys have not been confirmed.
     pub fn new(policy: KeyPolicy) -> Self {
         Self {
             policy,
@@ -62,20 +63,21 @@
         }
     }
 
-    /// Records that the configuration which the node has was the newest one at `at`.
+    /// Records that the node's configuration was the newest one at `at`.
     pub fn confirm(&mut self, at: Timestamp) {
         self.confirmed = self.confirmed.max(Some(at));
     }
 
-    /// Records that another node, asked at `asked`, has passed on everything that was the newest
-    /// `age` before. It says nothing if that lies before the start of this node's clock.
-    pub fn confirm_relayed(&mut self, asked: Timestamp, age: Duration) {
-        if asked.saturating_since(Timestamp::ZERO) >= age {
-            self.confirm(asked - age);
+    /// Records a confirmation by another node. This node sent its request at `requested_at`; the other
+    /// node's own confirmation was `age` old, and it has sent all its newer configuration. The
+    /// confirmation is ignored if it dates from before the start of this node's clock.
+    pub fn confirm_relayed(&mut self, requested_at: Timestamp, age: Duration) {
+        if requested_at.saturating_since(Timestamp::ZERO) >= age {
+            self.confirm(requested_at - age);
         }
     }
 
-    /// How long ago the keys were confirmed last; `None` while they never were.
+    /// Time since the keys were last confirmed; `None` if they never were.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         let confirmed = self.confirmed?;
         Some(now.saturating_since(confirmed))
