--- a/crates/dyketally/src/session/token.rs
+++ b/crates/dyketally/src/session/token.rs
@@ -26,7 +26,7 @@
      unchanged, or leave it out to read from the primary"
 )]
 pub struct MalformedToken {
-    /// The caller's text, cut to [`LONGEST_QUOTED_TOKEN`] characters.
+    /// The caller's text, cut to at most 80 characters.
     pub text: String,
 }
 
--- a/crates/dyketally/src/template/body.rs
+++ b/crates/dyketally/src/template/body.rs
@@ -1,4 +1,4 @@
-//! The body of a template once its parameters are filled in.
+//! The body of a template with all parameters filled in.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -8,15 +8,15 @@
 use crate::identifiers::{GroupName, TenantName};
 use crate::policy::{Confirmation, StatementRule, TenantPolicy};
 
-/// Weights that a template may set.
+/// Range of a tenant's weight.
 const WEIGHTS: RangeInclusive<u32> = 1..=1_000;
-/// Queue lengths that a template may set, in statements.
+/// Range of a tenant's queue limit, in statements.
 const QUEUE_LIMITS: RangeInclusive<u32> = 1..=100_000;
 
 const DEFAULT_WEIGHT: u32 = 1;
 const DEFAULT_QUEUE_LIMIT: u32 = 100;
 
-/// What a template says about one tenant.
+/// The settings that a filled-in template contains for one tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct TemplateBody {
     pub databases: BTreeMap<String, GroupName>,
@@ -27,7 +27,7 @@
 }
 
 impl TemplateBody {
-    /// Reads the filled-in body and notes its faults.
+    /// Reads the filled-in body and records its faults.
     pub fn read(document: &str, table: &toml::Table, faults: &FaultList) -> Self {
         let reader = TableReader::new(document, table, faults);
         let body = Self {
@@ -45,7 +45,7 @@
         body
     }
 
-    /// The policy of the tenant `name`.
+    /// The settings as the policy of the tenant called `name`.
     pub fn into_policy(self, name: TenantName) -> TenantPolicy {
         TenantPolicy {
             name,
--- a/crates/dyketally/src/template/classify.rs
+++ b/crates/dyketally/src/template/classify.rs
@@ -1,21 +1,21 @@
-//! Finds the rule that treats a statement. No SQL is parsed.
+//! Finds the rule that applies to a statement. SQL is not parsed.
 
 use crate::policy::{StatementMatcher, StatementPolicy, StatementRule};
 
-/// What a caller sent, as far as rules look at it.
+/// The parts of a caller's statement that rules can match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementText<'a> {
-    /// The text.
+    /// The text of the statement or query.
     pub query: &'a str,
-    /// The name under which it was prepared: empty for the unnamed statement, `None` for a simple
-    /// query.
+    /// The name under which the statement was prepared: empty for the unnamed prepared statement,
+    /// `None` for a simple query.
     pub prepared_name: Option<&'a str>,
 }
 
-/// The policy of the first rule that matches, or `None` when the statement is unclassified.
+/// The policy of the first rule that matches `statement`; `None` if no rule does.
 ///
-/// A rule speaks for the first statement of a text. Callers must treat a simple query that may
-/// hold several as a write that is never repeated, whatever the rule says.
+/// Rules match only the first statement of a text. Callers must treat a simple query that may contain
+/// several statements as a write that is never repeated, whatever the matching rule says.
 pub fn classify<'a>(
     rules: &'a [StatementRule],
     statement: StatementText<'_>,
@@ -30,8 +30,8 @@
     Some(&rule.policy)
 }
 
-/// True when `text` begins with `prefix`: letter case doesn't count, a run of white space equals
-/// any other, and the prefix doesn't end within a name.
+/// True when `text` begins with `prefix`. Letter case is ignored, runs of white space of any length are
+/// equal, and the prefix must not end within a name of the text.
 pub(super) fn prefix_matches(prefix: &str, text: &str) -> bool {
     let mut rest = text.trim_ascii_start();
     for (index, word) in prefix.split_ascii_whitespace().enumerate() {
@@ -48,12 +48,13 @@
         if !head.eq_ignore_ascii_case(word.as_bytes()) {
             return false;
         }
-        // The cut is at a character boundary, because the head equals a whole text.
+        // This is a character boundary, because the bytes before it equal a whole word.
         rest = &rest[rest.len() - tail.len()..];
     }
     ends_between_names(prefix, rest)
 }
 
+/// False when the end of `prefix` and the start of `rest` belong to the same name.
 fn ends_between_names(prefix: &str, rest: &str) -> bool {
     let last = prefix.trim_ascii_end().as_bytes().last();
     let next = rest.as_bytes().first();
@@ -63,12 +64,13 @@
     }
 }
 
-/// Bytes of (qualified) names: after `orders`, neither `orders_archive` nor `orders.x` matches.
+/// True for the bytes of names, which may be qualified: the prefix `orders` matches neither
+/// `orders_archive` nor `orders.x`.
 fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"_$.\"".contains(&byte) || !byte.is_ascii()
 }
 
-/// The label of a leading `/* dyketally:<label> */`.
+/// The label of a comment `/* dyketally:<label> */` at the start of `query`.
 fn comment_label(query: &str) -> Option<&str> {
     let comment = query.strip_prefix("/*")?;
     let (comment, _) = comment.split_once("*/")?;
--- a/crates/dyketally/src/template/documents.rs
+++ b/crates/dyketally/src/template/documents.rs
@@ -1,17 +1,17 @@
-//! The operators' documents of one revision, as text.
+//! The operators' documents of one revision, as TOML texts.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The three kinds of documents that operators keep.
+/// The kinds of documents that operators maintain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DocumentKind {
     /// A database group.
     Group,
-    /// A template.
+    /// A template for tenants.
     Template,
     /// A tenant.
     Tenant,
@@ -27,19 +27,19 @@
     }
 }
 
-/// All documents of one revision: TOML texts by name.
+/// All documents of one revision: their TOML texts by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Documents {
-    /// Groups by name.
+    /// Texts of groups by name.
     pub groups: BTreeMap<String, String>,
-    /// Templates by name.
+    /// Texts of templates by name.
     pub templates: BTreeMap<String, String>,
-    /// Tenants by name.
+    /// Texts of tenants by name.
     pub tenants: BTreeMap<String, String>,
 }
 
 impl Documents {
-    /// The documents of one kind.
+    /// The documents of `kind`.
     pub fn of_kind(&self, kind: DocumentKind) -> &BTreeMap<String, String> {
         match kind {
             DocumentKind::Group => &self.groups,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The documents of one kind, to change them.
+    /// Mutable access to the documents of `kind`.
     pub fn of_kind_mut(&mut self, kind: DocumentKind) -> &mut BTreeMap<String, String> {
         match kind {
             DocumentKind::Group => &mut self.groups,
@@ -58,7 +58,7 @@
     }
 }
 
-/// How faults call the document of `kind` that is kept as `name`.
+/// The label by which messages identify the document of `kind` called `name`.
 pub(super) fn document_label(kind: DocumentKind, name: &str) -> String {
     format!("{kind} {name:?}")
 }
--- a/crates/dyketally/src/template/group.rs
+++ b/crates/dyketally/src/template/group.rs
@@ -1,4 +1,4 @@
-//! A database group as operators write it.
+//! Group documents as operators write them.
 
 use std::ops::RangeInclusive;
 
@@ -6,23 +6,23 @@
 use crate::identifiers::{GroupName, Locality};
 use crate::policy::{DatabasePolicy, GroupPolicy};
 
-/// The status statement of groups that don't name their own.
+/// The status statement of groups that don't set `status_statement`.
 pub const DEFAULT_STATUS_STATEMENT: &str =
     "SELECT role, term, log_term, log_offset FROM dyketally_status";
-/// The ledger table of groups that don't name their own.
+/// The ledger table of groups that don't set `ledger_table`.
 pub const DEFAULT_LEDGER_TABLE: &str = "dyketally_ledger";
 
-/// Connection limits and slots that a database may have.
+/// Range of a database's connection limit and of its slots.
 const CONNECTIONS: RangeInclusive<u32> = 1..=100_000;
 
-/// Checks one group's document by itself.
+/// Reads and checks the document of one group by itself; `document` is its label in messages.
 pub fn check_group(document: &str, text: &str) -> Result<GroupPolicy, Vec<Fault>> {
     let faults = FaultList::new();
     let group = read_group(document, text, &faults);
     faults.into_result(group)
 }
 
-/// Reads a group and notes its faults; members at fault are left out.
+/// Reads a group and records its faults; incomplete members are left out.
 pub(super) fn read_group(document: &str, text: &str, faults: &FaultList) -> Option<GroupPolicy> {
     let table = parse_table(document, text, faults)?;
     let reader = TableReader::new(document, &table, faults);
@@ -80,12 +80,12 @@
     reader.number_in(key, CONNECTIONS)
 }
 
-/// A table's name that needs no quoting, so that it can stand in a statement as it is.
+/// Name of a table that needs no quoting in a statement.
 struct TableName(String);
 
 impl Field for TableName {
     fn expected() -> String {
-        "a table name of small letters, digits and `_`, with a schema and `.` before it if needed"
+        "a table name of lowercase letters, digits and `_`, with a schema and `.` before it if needed"
             .to_owned()
     }
 
--- a/crates/dyketally/src/template/mod.rs
+++ b/crates/dyketally/src/template/mod.rs
@@ -1,9 +1,9 @@
 //! Parameterised templates that operators publish, and their checks.
 //!
-//! Operators keep three kinds of TOML documents: *groups* name databases, *templates* say how
-//! statements are treated, and *tenants* name a template and fill in its parameters.
-//! [`resolve`] turns all documents of a revision into the [`PolicySet`] that the request path
-//! reads, or tells every fault at once; [`classify`] finds the rule of one statement.
+//! Operators maintain three kinds of TOML documents: *groups* list databases, *templates* set how
+//! statements are treated, and *tenants* name a template and give arguments for its parameters.
+//! [`resolve`] turns all documents of a revision into the [`PolicySet`] that the request path reads,
+//! or reports all their faults at once. [`classify`] finds the policy of one statement.
 //!
 //! [`PolicySet`]: crate::policy::PolicySet
 
--- a/crates/dyketally/src/template/parameter.rs
+++ b/crates/dyketally/src/template/parameter.rs
@@ -1,4 +1,4 @@
-//! Parameters of templates: declarations, and the arguments that tenants give.
+//! Parameters of templates: their declarations, and the arguments that tenants give.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use crate::identifiers::GroupName;
 use crate::policy::Confirmation;
 
-/// What a parameter takes.
+/// The type of a parameter's values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ParameterType {
     /// A whole number.
     Integer,
-    /// A duration such as "250ms".
+    /// A duration, written as "250ms" or "2s".
     Duration,
     /// The name of a group.
     Group,
-    /// A table of groups by the database names that callers use.
+    /// A table of group names, by the database names that callers use.
     Databases,
-    /// How writes are confirmed.
+    /// How writes are confirmed, see [`Confirmation`].
     Confirmation,
-    /// Any text, to stand within a longer one.
+    /// A text that isn't blank, for use within a longer one.
     Text,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl ParameterType {
-    /// What the parameter takes, in words that finish "set it to ...".
+    /// The values of this type, as the end of a message "set it to ...".
     pub fn expected(self) -> String {
         match self {
             ParameterType::Integer => i64::expected(),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A value that stands for the tenant's when a template is checked by itself.
+    /// A valid value, used for parameters without a default when a template is checked by itself.
     fn sample(self) -> Value {
         match self {
             ParameterType::Integer => Value::from(1),
@@ -93,19 +93,19 @@
         .is_some_and(|table| table.values().all(is_group))
 }
 
-/// One parameter as a template declares it.
+/// A template's declaration of one parameter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParameterDeclaration {
-    /// What it takes.
+    /// The type of the parameter's values.
     pub parameter_type: ParameterType,
-    /// The value for tenants that don't give one.
+    /// The value for tenants that don't give an argument; without one, each tenant must.
     pub default: Option<Value>,
-    /// What it is for.
+    /// The purpose of the parameter.
     pub description: Option<String>,
 }
 
 impl ParameterDeclaration {
-    /// Reads the declaration `[parameters.<name>]`.
+    /// Reads the table `[parameters.<name>]`; `None` if its type is missing or malformed.
     pub(super) fn read(reader: TableReader<'_>) -> Option<Self> {
         let parameter_type: Option<ParameterType> = reader.required("type");
         let default = reader.value("default").cloned();
@@ -123,14 +123,15 @@
         })
     }
 
-    /// The default, or a value that stands for the tenant's.
+    /// The default, or a valid value if there is none.
     pub(super) fn default_or_sample(&self) -> Value {
         let sample = || self.parameter_type.sample();
         self.default.clone().unwrap_or_else(sample)
     }
 }
 
-/// Reads a tenant's arguments against the declarations of its template; `template` is for faults.
+/// Reads a tenant's arguments and checks them against the declarations of its template. The template's
+/// name `template` is for messages.
 pub(super) fn read_arguments(
     template: &str,
     declarations: &BTreeMap<String, ParameterDeclaration>,
@@ -149,14 +150,14 @@
             Some(value) => {
                 arguments.insert(name.clone(), value.clone());
             }
-            None => reader.fault(name, missing(template, parameter_type)),
+            None => reader.fault(name, missing_argument(template, parameter_type)),
         }
     }
     reader.finish();
     arguments
 }
 
-fn missing(template: &str, parameter_type: ParameterType) -> FaultKind {
+fn missing_argument(template: &str, parameter_type: ParameterType) -> FaultKind {
     FaultKind::MissingParameter {
         template: template.to_owned(),
         expected: parameter_type.expected(),
--- a/crates/dyketally/src/template/placeholder.rs
+++ b/crates/dyketally/src/template/placeholder.rs
@@ -1,4 +1,4 @@
-//! Puts arguments in the place of `${name}`.
+//! Replaces the placeholders `${name}` of a template by arguments.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,20 +9,20 @@
 const OPENING: &str = "${";
 const CLOSING: char = '}';
 
-/// Fills arguments into the values of a template.
+/// One substitution of arguments for the placeholders in a template's values.
 pub(super) struct Substitution<'a> {
-    /// How faults call the document.
+    /// The document's label in messages.
     pub document: &'a str,
-    /// Values by parameter name.
+    /// Arguments by the name of their parameter.
     pub arguments: &'a BTreeMap<String, Value>,
-    /// Where faults are noted.
+    /// The list to which faults are added.
     pub faults: &'a FaultList,
-    /// Parameters that were used.
+    /// Names of the parameters used so far.
     pub used: BTreeSet<String>,
 }
 
 impl Substitution<'_> {
-    /// A copy of `table` with arguments in the place of placeholders.
+    /// A copy of `table` with all placeholders replaced; `path` is the table's place in the document.
     pub fn table(&mut self, path: &str, table: &Table) -> Table {
         let mut filled = Table::new();
         for (key, value) in table {
@@ -73,7 +73,7 @@
         Value::from(filled)
     }
 
-    /// The argument as part of a longer text.
+    /// The argument of `parameter` as part of a longer text; empty if it is neither a text nor a number.
     fn part(&mut self, path: &str, parameter: &str) -> String {
         match self.argument(path, parameter) {
             Some(Value::String(text)) => text,
@@ -88,6 +88,7 @@
         }
     }
 
+    /// The argument of `parameter`, which counts as used; records a fault if it isn't declared.
     fn argument(&mut self, path: &str, parameter: &str) -> Option<Value> {
         let argument = self.arguments.get(parameter).cloned();
         let parameter = parameter.to_owned();
@@ -104,7 +105,7 @@
     }
 }
 
-/// The parameter's name when the text is one placeholder and nothing else.
+/// The parameter's name if `text` consists of a single placeholder.
 fn whole_placeholder(text: &str) -> Option<&str> {
     let name = text.strip_prefix(OPENING)?.strip_suffix(CLOSING)?;
     (!name.contains(CLOSING)).then_some(name)
--- a/crates/dyketally/src/template/resolve.rs
+++ b/crates/dyketally/src/template/resolve.rs
@@ -1,4 +1,4 @@
-//! Turns all documents of a revision into the configuration that the request path reads.
+//! Turns all documents of a revision into the policies that the request path reads.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -12,8 +12,8 @@
 use crate::identifiers::{GroupName, TenantName};
 use crate::policy::{GroupPolicy, PolicySet, TenantPolicy};
 
-/// Checks all documents together and fills in templates. Either the whole set is accepted or
-/// every fault is told. The result's revision is left for the caller to set.
+/// Checks all documents together and fills in the templates. Returns either the policies of all
+/// documents or all faults. The caller sets the revision of the result.
 pub fn resolve(documents: &Documents) -> Result<PolicySet, Vec<Fault>> {
     let faults = FaultList::new();
     let groups = resolve_groups(documents, &faults);
@@ -40,20 +40,21 @@
         check_name(&label, kept, group.name.as_str(), faults);
         for member in &group.members {
             let place = format!("{label} member {:?}", member.name.as_str());
-            names.claim(&label, member.name.to_string(), &place, faults);
-            addresses.claim(&label, member.address.to_string(), &place, faults);
+            names.record(&label, member.name.to_string(), &place, faults);
+            addresses.record(&label, member.address.to_string(), &place, faults);
         }
         groups.insert(group.name.clone(), group);
     }
     groups
 }
 
-/// Remembers where a value stands first, to tell where it is repeated.
+/// The first place of each value that must be unique.
 #[derive(Default)]
 struct FirstPlaces(BTreeMap<String, String>);
 
 impl FirstPlaces {
-    fn claim(&mut self, document: &str, value: String, place: &str, faults: &FaultList) {
+    /// Records that `value` occurs at `place`, or a fault of `document` if it occurred before.
+    fn record(&mut self, document: &str, value: String, place: &str, faults: &FaultList) {
         match self.0.entry(value) {
             Entry::Vacant(entry) => {
                 entry.insert(place.to_owned());
@@ -67,8 +68,8 @@
     }
 }
 
-/// Templates by the name they are kept under; `None` for those at fault, whose tenants are not
-/// checked further.
+/// Reads all templates, by the name under which they are stored. Templates with faults are `None`;
+/// their tenants are not checked further.
 fn read_templates(documents: &Documents, faults: &FaultList) -> BTreeMap<String, Option<Template>> {
     let mut templates = BTreeMap::new();
     for (kept, text) in &documents.templates {
@@ -107,6 +108,7 @@
     tenants
 }
 
+/// The policy of one tenant; `None` if its template or its arguments have faults.
 fn resolve_tenant(
     label: &str,
     tenant: TenantDocument,
@@ -115,7 +117,7 @@
 ) -> Option<TenantPolicy> {
     let template_name = tenant.template.as_str();
     let Some(template) = templates.get(template_name) else {
-        let kind = unknown(DocumentKind::Template, template_name);
+        let kind = unknown_reference(DocumentKind::Template, template_name);
         faults.add(label, "template", kind);
         return None;
     };
@@ -131,6 +133,7 @@
     Some(body.into_policy(tenant.name))
 }
 
+/// Records a fault for each group that a tenant names and that doesn't exist.
 fn check_references(
     tenants: &BTreeMap<TenantName, TenantPolicy>,
     documents: &Documents,
@@ -140,14 +143,15 @@
         let label = document_label(DocumentKind::Tenant, tenant.name.as_str());
         for (database, group) in &tenant.databases {
             if !documents.groups.contains_key(group.as_str()) {
-                let kind = unknown(DocumentKind::Group, group.as_str());
+                let kind = unknown_reference(DocumentKind::Group, group.as_str());
                 faults.add(&label, &format!("databases.{database}"), kind);
             }
         }
     }
 }
 
-fn unknown(kind: DocumentKind, name: &str) -> FaultKind {
+/// The fault of a reference to a document that doesn't exist.
+fn unknown_reference(kind: DocumentKind, name: &str) -> FaultKind {
     let (kind, remedy) = match kind {
         DocumentKind::Group => ("group", "name an existing group or set it first"),
         DocumentKind::Template => ("template", "name an existing template or publish it first"),
@@ -160,6 +164,7 @@
     }
 }
 
+/// Records a fault if the name inside a document differs from the one under which it is stored.
 fn check_name(label: &str, kept: &str, found: &str, faults: &FaultList) {
     if kept != found {
         let (found, kept) = (found.to_owned(), kept.to_owned());
--- a/crates/dyketally/src/template/statement.rs
+++ b/crates/dyketally/src/template/statement.rs
@@ -1,4 +1,4 @@
-//! Statement rules of a template.
+//! Reads the statement rules of a template.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use crate::document::{FaultKind, TableReader};
 use crate::policy::{Access, Repeat, StatementMatcher, StatementPolicy, StatementRule, Urgency};
 
-/// Deadlines that a rule may set.
+/// Range of a rule's deadline.
 const DEADLINES: RangeInclusive<Duration> = Duration::from_millis(5)..=Duration::from_secs(300);
 
 const MATCHER_EXPECTED: &str = "exactly one of `prefix`, `comment` and `prepared_name`";
 
-/// Reads `[[statements]]`; rules that are at fault are left out.
+/// Reads the rules `[[statements]]` and leaves out incomplete ones.
 pub(super) fn read_rules(body: &TableReader<'_>) -> Vec<StatementRule> {
     let mut rules: Vec<(String, StatementRule)> = Vec::new();
     let readers = body.tables("statements");
@@ -34,6 +34,8 @@
     rules.into_iter().map(|(_, rule)| rule).collect()
 }
 
+/// Reads one rule; `None` if a required field is missing or malformed. `earlier` holds the rules before
+/// it with their paths.
 fn read_rule(
     reader: TableReader<'_>,
     earlier: &[(String, StatementRule)],
@@ -69,7 +71,7 @@
     })
 }
 
-/// Reads may be sent again, writes may not, unless the rule says otherwise.
+/// Whether a statement may be sent again if its rule doesn't set `repeat`: reads may, writes may not.
 fn default_repeat(access: Access) -> Repeat {
     match access {
         Access::Read => Repeat::Repeatable,
@@ -77,6 +79,7 @@
     }
 }
 
+/// Reads the table `match`, which must have exactly one key.
 fn read_matcher(reader: TableReader<'_>) -> Option<StatementMatcher> {
     let prefix = read_text(&reader, "prefix").map(StatementMatcher::Prefix);
     let comment = read_text(&reader, "comment").map(StatementMatcher::Comment);
@@ -109,7 +112,7 @@
     Some(trimmed.to_owned())
 }
 
-/// True when every statement that `later` matches is matched by `earlier` first.
+/// True when `earlier` matches every statement that `later` matches, so that `later` is never used.
 fn shadows(earlier: &StatementMatcher, later: &StatementMatcher) -> bool {
     use StatementMatcher::Prefix;
     match (earlier, later) {
--- a/crates/dyketally/src/template/template_document.rs
+++ b/crates/dyketally/src/template/template_document.rs
@@ -1,4 +1,4 @@
-//! A template as operators write it.
+//! Template documents as operators write them: how they are read, checked and filled in.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,31 +12,32 @@
 use crate::identifiers::TemplateName;
 
 const PARAMETERS: &str = "parameters";
+/// Keys that are not part of the body.
 const HEADER_KEYS: [&str; 3] = ["name", "description", PARAMETERS];
 
-/// A template: parameters, and a body with placeholders for them.
+/// A template: parameters, and a body that contains placeholders for them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Template {
     /// The template's name.
     pub name: TemplateName,
-    /// What it is for.
+    /// The purpose of the template.
     pub description: Option<String>,
-    /// Its parameters by name.
+    /// The template's parameters by name.
     pub parameters: BTreeMap<String, ParameterDeclaration>,
-    /// Everything else, with placeholders.
+    /// All other keys of the document, with placeholders in their values.
     body: Table,
 }
 
 impl Template {
-    /// Reads a template; it is checked with [`Template::check`].
+    /// Reads a template without its body, which [`Template::check`] checks.
     pub fn parse(text: &str) -> Result<Template, Vec<Fault>> {
         let faults = FaultList::new();
         let template = Self::read("template", text, &faults);
         faults.into_result(template)
     }
 
-    /// Checks the template by itself, with defaults or samples for its parameters.
-    /// Whether its groups exist is checked where it is resolved.
+    /// Checks the template by itself, with the default or a sample value for each parameter. Whether its
+    /// groups exist is checked by [`resolve`](super::resolve()).
     pub fn check(&self) -> Vec<Fault> {
         let faults = FaultList::new();
         let label = document_label(DocumentKind::Template, self.name.as_str());
@@ -44,7 +45,7 @@
         faults.into_faults()
     }
 
-    /// Parses and checks `text` and tells all its faults.
+    /// Reads and checks a template, and returns it or all its faults.
     pub fn parse_and_check(document: &str, text: &str) -> Result<Template, Vec<Fault>> {
         let faults = FaultList::new();
         let template = Self::read(document, text, &faults);
@@ -65,7 +66,7 @@
         let description = reader.optional("description");
         let parameters = read_parameters(reader.table(PARAMETERS));
         Some(Template {
-            // A template without a name is refused, but its body is checked all the same.
+            // A template without a valid name is rejected, but its body is still checked for faults.
             name: name.unwrap_or_else(|| TemplateName::new("")),
             description,
             parameters,
@@ -87,7 +88,7 @@
         TemplateBody::read(document, &body, faults);
     }
 
-    /// The body with `arguments` filled in.
+    /// Reads the body with `arguments` filled in, and records its faults.
     pub(super) fn fill(
         &self,
         document: &str,
@@ -98,6 +99,7 @@
         TemplateBody::read(document, &body, faults)
     }
 
+    /// The body with `arguments` filled in, and the names of the parameters that it uses.
     fn substitute(
         &self,
         document: &str,
--- a/crates/dyketally/src/template/tenant.rs
+++ b/crates/dyketally/src/template/tenant.rs
@@ -1,4 +1,4 @@
-//! A tenant as operators write it: the name of its template and arguments for it.
+//! Tenant documents as operators write them: the name of a template and arguments for its parameters.
 
 use toml::Table;
 
@@ -7,26 +7,26 @@
 
 const PARAMETERS: &str = "parameters";
 
-/// A tenant's document.
+/// The document of one tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantDocument {
     /// The tenant's name.
     pub name: TenantName,
-    /// The template that it fills in.
+    /// The name of the tenant's template.
     pub template: TemplateName,
-    /// The whole document; its `parameters` are read against the template's declarations.
+    /// The whole document. Its table `parameters` is checked later against the template's declarations.
     table: Table,
 }
 
 impl TenantDocument {
-    /// Reads the document; its arguments are checked where it is resolved.
+    /// Reads the document without its arguments, which [`resolve`](super::resolve()) checks.
     pub fn parse(document: &str, text: &str) -> Result<Self, Vec<Fault>> {
         let faults = FaultList::new();
         let tenant = Self::read(document, text, &faults);
         faults.into_result(tenant)
     }
 
-    /// Reads the document and notes its faults, except those of its arguments.
+    /// Reads the document and records its faults, except those of its arguments.
     pub(super) fn read(document: &str, text: &str, faults: &FaultList) -> Option<Self> {
         let table = parse_table(document, text, faults)?;
         let reader = TableReader::new(document, &table, faults);
