--- a/crates/dyketally/src/session/token.rs
+++ b/crates/dyketally/src/session/token.rs
@@ -26,7 +26,7 @@
      unchanged, or leave it out to read from the primary"
 )]
 pub struct MalformedToken {
-    /// The caller's text, cut to at most 80 characters.
+    /// The caller's text, shortened if it is long.
     pub text: String,
 }
 
