--- a/crates/dyketally-gateway/src/context/configuration.rs
+++ b/crates/dyketally-gateway/src/context/configuration.rs
@@ -62,7 +62,7 @@
     }
 
     /// Waits until a configuration is in force, at most until `until`.
-    pub async fn configured_by(&self, until: Instant) {
+    pub async fn wait_until_configured(&self, until: Instant) {
         while !self.is_configured() && Instant::now() < until {
             self.changes.next(until).await;
         }
@@ -70,14 +70,14 @@
 
     /// Records that the store, by a request sent at `asked`, has reported all changes of the configuration up to
     /// then to this node.
-    pub fn keys_confirmed(&self, asked: Timestamp) {
+    pub fn record_key_confirmation(&self, asked: Timestamp) {
         self.configuration.trust.borrow_mut().confirm(asked);
         self.log_if_trusted_again();
     }
 
     /// Records that a relay, by a request sent at `asked`, has passed on all changes of the configuration that it
     /// had received, and that the relay's own configuration was confirmed `age` before.
-    pub fn keys_confirmed_by_relay(&self, asked: Timestamp, age: Duration) {
+    pub fn record_key_confirmation_by_relay(&self, asked: Timestamp, age: Duration) {
         let mut trust = self.configuration.trust.borrow_mut();
         trust.confirm_relayed(asked, age);
         drop(trust);
@@ -90,7 +90,7 @@
     }
 
     /// True while operations that need a key may be served. Logs the first time that they may not.
-    pub fn keys_hold(&self) -> bool {
+    pub fn may_trust_keys(&self) -> bool {
         let holds = self.trusts_keys();
         if !holds && !self.configuration.logged_uncertain.replace(true) {
             let age = self.configuration_age();
--- a/crates/dyketally-gateway/src/context/contact.rs
+++ b/crates/dyketally-gateway/src/context/contact.rs
@@ -37,13 +37,13 @@
 
     /// The time up to which this node knows the store's content; `None` if that is too long ago, or while this
     /// node still receives what it missed.
-    pub fn heard_store(&self, now: Timestamp) -> Option<Timestamp> {
+    pub fn store_known_as_of(&self, now: Timestamp) -> Option<Timestamp> {
         self.state.borrow().heard_store(now)
     }
 
     /// Discards this node's contact with the store, as it is giving back its leases, or the relay that it gets
     /// its updates from has lost the store.
-    pub fn disregard_store(&self) {
+    pub fn discard_store_contact(&self) {
         self.state.borrow_mut().store_given_up();
     }
 
@@ -62,7 +62,7 @@
 impl Context {
     /// True when this node would be notified of a primary that is being replaced, so that it needn't check for
     /// another leader.
-    pub fn is_in_touch(&self) -> bool {
+    pub fn is_in_contact(&self) -> bool {
         self.contact.state.borrow().is_held(self.now())
     }
 
--- a/crates/dyketally-gateway/src/database/availability.rs
+++ b/crates/dyketally-gateway/src/database/availability.rs
@@ -24,13 +24,13 @@
 impl Loss {
     /// True while another failed attempt would belong to this loss rather than begin a new one.
     fn is_ongoing(&self) -> bool {
-        wait::is_same_loss(self.last.elapsed())
+        wait::is_same_outage(self.last.elapsed())
     }
 }
 
 impl PrimaryAvailability {
     /// Records that an attempt found no usable primary.
-    pub fn attempt_failed(&self) {
+    pub fn record_failed_attempt(&self) {
         let last = Instant::now();
         let first = self.current().map_or(last, |loss| loss.first);
         self.loss.set(Some(Loss { first, last }));
@@ -43,7 +43,7 @@
 
     /// Until when a statement waits for a primary; never after `latest`.
     pub fn wait_until(&self, latest: Instant) -> Instant {
-        (Instant::now() + wait::for_primary(self.missing_for())).min(latest)
+        (Instant::now() + wait::primary_wait(self.missing_for())).min(latest)
     }
 
     /// Time since the first attempt of the current loss; zero while no attempt has failed.
--- a/crates/dyketally-gateway/src/database/checkout.rs
+++ b/crates/dyketally-gateway/src/database/checkout.rs
@@ -5,7 +5,7 @@
 use dyketally::statement::FailureKind;
 
 use super::Databases;
-use super::claim::{Claim, Refusal, failure_kind};
+use super::claim::{ConnectionRequest, Refusal, failure_kind};
 use super::connection::OpenError;
 use super::pool::{Checkout, CheckoutError};
 use super::target::Target;
@@ -19,7 +19,7 @@
         &self,
         target: &Target,
         values: &BTreeMap<String, String>,
-        claim: Claim,
+        claim: ConnectionRequest,
     ) -> Result<Checkout, Refusal> {
         let pool = &target.state.pool;
         let checkout = pool.checkout(values, claim);
--- a/crates/dyketally-gateway/src/database/claim.rs
+++ b/crates/dyketally-gateway/src/database/claim.rs
@@ -10,7 +10,7 @@
 
 /// A request for a connection to a database.
 #[derive(Clone, Debug)]
-pub struct Claim {
+pub struct ConnectionRequest {
     /// Priority in the queue; lower numbers go first.
     pub priority: u32,
     /// Deadline for the connection, including the time to open one.
@@ -18,7 +18,7 @@
     /// Limits of the wait in the queue.
     pub patience: Patience,
     /// Purpose of the connection.
-    pub work: Work,
+    pub work: ConnectionUse,
     /// The user for whom the connection must be open; `None` if any user's connection will do, as for the
     /// gateway's own statements.
     pub user: Option<DatabaseUser>,
@@ -28,7 +28,7 @@
 
 /// Purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Work {
+pub enum ConnectionUse {
     /// Status requests and the commands of a primary's replacement, which are sent to a cold database at once.
     Control,
     /// Single statements, which keep the connection until they are answered.
--- a/crates/dyketally-gateway/src/database/connection/answer.rs
+++ b/crates/dyketally-gateway/src/database/connection/answer.rs
@@ -28,7 +28,7 @@
 }
 
 /// True when no transaction is open after the last of `answers`; false if there are none.
-pub fn leave_idle(answers: &[Answer]) -> bool {
+pub fn end_outside_transaction(answers: &[Answer]) -> bool {
     let last = answers.last();
     last.is_some_and(|answer| answer.state == TransactionState::Idle)
 }
--- a/crates/dyketally-gateway/src/database/connection/error.rs
+++ b/crates/dyketally-gateway/src/database/connection/error.rs
@@ -31,12 +31,12 @@
 /// The connection broke before all answers were complete.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("the connection broke: {reason}; the statement may have run")]
-pub struct Broken {
+pub struct BrokenConnection {
     /// Cause, such as the transport's error.
     pub reason: String,
 }
 
-impl Broken {
+impl BrokenConnection {
     /// An error with the cause `reason`.
     pub fn new(reason: impl ToString) -> Self {
         Self {
--- a/crates/dyketally-gateway/src/database/connection/mod.rs
+++ b/crates/dyketally-gateway/src/database/connection/mod.rs
@@ -18,11 +18,11 @@
 use crate::database::batch::{Batch, Flow, Reset, Step};
 use crate::ports::{DatabaseCommand, DatabaseUser, Reply, SharedDatabaseProtocol};
 
-pub use self::answer::{Answer, leave_idle};
+pub use self::answer::{Answer, end_outside_transaction};
 pub use self::connector::{Connector, Destination, Forwarding, Route};
-pub use self::error::{Broken, OpenError};
+pub use self::error::{BrokenConnection, OpenError};
 use self::session_state::SessionState;
-pub use self::socket::{is_quiet, prepare_socket};
+pub use self::socket::{is_open_without_input, prepare_socket};
 
 /// Buffer space reserved for each read from a database, in bytes. Most answers are shorter.
 const READ_CHUNK: usize = 4_096;
@@ -88,9 +88,9 @@
     /// # Errors
     /// The connection broke, so that any of the steps may have run; or an earlier statement whose caller stopped
     /// waiting is unanswered, so that the connection can't be used any more.
-    pub async fn run(&mut self, batch: &Batch) -> Result<Vec<Answer>, Broken> {
+    pub async fn run(&mut self, batch: &Batch) -> Result<Vec<Answer>, BrokenConnection> {
         if self.unanswered > 0 {
-            return Err(Broken::new(
+            return Err(BrokenConnection::new(
                 "an earlier statement on it is still unanswered",
             ));
         }
@@ -113,7 +113,7 @@
         adoption: Vec<DatabaseCommand>,
         steps: &[Step],
         name: &str,
-    ) -> Result<Vec<Answer>, Broken> {
+    ) -> Result<Vec<Answer>, BrokenConnection> {
         let adopted = adoption.len();
         let mut commands = adoption;
         commands.extend(steps.iter().map(|step| step.command(name)));
@@ -127,7 +127,7 @@
         adoption: Vec<DatabaseCommand>,
         steps: &[Step],
         name: &str,
-    ) -> Result<Vec<Answer>, Broken> {
+    ) -> Result<Vec<Answer>, BrokenConnection> {
         let mut answers = Vec::with_capacity(steps.len());
         let mut adoption = Some(adoption);
         for step in steps {
@@ -141,9 +141,12 @@
         Ok(answers)
     }
 
-    async fn exchange(&mut self, commands: &[DatabaseCommand]) -> Result<Vec<Answer>, Broken> {
+    async fn exchange(
+        &mut self,
+        commands: &[DatabaseCommand],
+    ) -> Result<Vec<Answer>, BrokenConnection> {
         self.unanswered += commands.len();
-        self.send(commands).await.map_err(Broken::new)?;
+        self.send(commands).await.map_err(BrokenConnection::new)?;
         let mut answers = Vec::with_capacity(commands.len());
         for _ in commands {
             answers.push(self.read_answer().await?);
@@ -160,7 +163,7 @@
         self.stream.write_all(&output).await
     }
 
-    async fn read_answer(&mut self) -> Result<Answer, Broken> {
+    async fn read_answer(&mut self) -> Result<Answer, BrokenConnection> {
         let mut rows = Vec::new();
         let mut end = Err(Failure {
             kind: FailureKind::Other,
@@ -183,16 +186,16 @@
         }
     }
 
-    async fn next_reply(&mut self) -> Result<Reply, Broken> {
+    async fn next_reply(&mut self) -> Result<Reply, BrokenConnection> {
         loop {
             let decoded = self.protocol.decode(&mut self.input);
-            if let Some(reply) = decoded.map_err(Broken::new)? {
+            if let Some(reply) = decoded.map_err(BrokenConnection::new)? {
                 return Ok(reply);
             }
             self.input.reserve(READ_CHUNK);
             let read = self.stream.read_buf(&mut self.input).await;
-            if read.map_err(Broken::new)? == 0 {
-                return Err(Broken::new("closed by the database"));
+            if read.map_err(BrokenConnection::new)? == 0 {
+                return Err(BrokenConnection::new("closed by the database"));
             }
         }
     }
@@ -214,7 +217,7 @@
 
     /// True when the connection was closed, has unanswered commands, or received bytes without a command.
     pub fn is_stale(&self) -> bool {
-        self.unanswered > 0 || !is_quiet(&self.stream) || !self.input.is_empty()
+        self.unanswered > 0 || !is_open_without_input(&self.stream) || !self.input.is_empty()
     }
 
     /// Relative cost of giving the connection the session settings `values`; 0 if no command is needed.
--- a/crates/dyketally-gateway/src/database/connection/socket.rs
+++ b/crates/dyketally-gateway/src/database/connection/socket.rs
@@ -19,7 +19,7 @@
 }
 
 /// True when `stream` is open and has no unread bytes. Consumes a byte if there is one.
-pub fn is_quiet(stream: &TcpStream) -> bool {
+pub fn is_open_without_input(stream: &TcpStream) -> bool {
     let mut byte = [0_u8; 1];
     let read = stream.try_read(&mut byte);
     read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/crates/dyketally-gateway/src/database/directory_changes.rs
+++ b/crates/dyketally-gateway/src/database/directory_changes.rs
@@ -34,12 +34,12 @@
             }
         }
         self.cx.changes.notify();
-        self.look_at_primaries();
+        self.check_primaries();
     }
 
-    pub(super) fn look_at_primaries(&self) {
+    pub(super) fn check_primaries(&self) {
         if let Some(watch) = self.primary_watch() {
-            watch.look_at_primaries();
+            watch.check_primaries();
         }
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Records that the complete directory was read now.
-    pub fn listed_now(&self) {
+    pub fn record_listed(&self) {
         self.directory_listed_at.set(Some(Instant::now()));
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Spawns a task that removes unlisted databases which haven't announced themselves within the grace period.
-    pub fn settle_unlisted_later(self: &Rc<Self>) {
+    pub fn remove_unlisted_after_grace(self: &Rc<Self>) {
         let oldest = self.directory.borrow().oldest_unlisted();
         if oldest.is_none() || self.removing_unlisted.replace(true) {
             return;
--- a/crates/dyketally-gateway/src/database/eligibility.rs
+++ b/crates/dyketally-gateway/src/database/eligibility.rs
@@ -14,7 +14,11 @@
     ///
     /// # Errors
     /// The reason why the batch may not be sent, which is also counted.
-    pub fn may_send(&self, target: &Target, intent: &Intent) -> Result<Permission, Denial> {
+    pub fn permission_to_send(
+        &self,
+        target: &Target,
+        intent: &Intent,
+    ) -> Result<Permission, Denial> {
         let directory = self.directory.borrow();
         let result = match directory.member(&target.name) {
             Some(member) => self.judge(member, intent),
@@ -51,7 +55,7 @@
 
     /// The lasting reason why statements of `intent` can't run at any database of `group`: it holds until the
     /// configuration, the evacuated zones or the primary change. `None` if such statements can run now or soon.
-    pub fn denied_for_good(&self, group: &GroupName, intent: &Intent) -> Option<Denial> {
+    pub fn lasting_denial(&self, group: &GroupName, intent: &Intent) -> Option<Denial> {
         if intent.needs_leader {
             let denial = self.primary_target(group, &intent.regions).err();
             return denial.filter(|denial| denial.is_lasting());
--- a/crates/dyketally-gateway/src/database/evacuation.rs
+++ b/crates/dyketally-gateway/src/database/evacuation.rs
@@ -12,7 +12,7 @@
 
 impl Databases {
     /// Replaces the set of evacuated zones by `zones`.
-    pub fn evacuations_are(&self, zones: &BTreeSet<ZoneName>) {
+    pub fn set_evacuations(&self, zones: &BTreeSet<ZoneName>) {
         let changes = self.evacuations.borrow_mut().replaced(zones);
         self.evacuations_changed(changes);
     }
@@ -24,7 +24,7 @@
     }
 
     /// Records that an operator cancelled the evacuation of `zone`.
-    pub fn evacuation_taken_back(&self, zone: &ZoneName) {
+    pub fn evacuation_cancelled(&self, zone: &ZoneName) {
         let change = self.evacuations.borrow_mut().taken_back(zone);
         self.evacuations_changed(change);
     }
@@ -52,7 +52,7 @@
         }
         if any {
             self.cx.changes.notify();
-            self.look_at_primaries();
+            self.check_primaries();
         }
     }
 
--- a/crates/dyketally-gateway/src/database/fences.rs
+++ b/crates/dyketally-gateway/src/database/fences.rs
@@ -17,11 +17,11 @@
     /// the round is over.
     pub fn fence(&self, database: &DatabaseName, id: FenceId, suspected: Duration) -> bool {
         !self.has_answered_within(database, suspected)
-            && self.put_up_fence(database.clone(), id, "a node")
+            && self.set_fence(database.clone(), id, "a node")
     }
 
     /// Sets a fence of round `id` around `database`, as requested by `source`; false if the round is over.
-    pub fn put_up_fence(&self, database: DatabaseName, id: FenceId, source: &str) -> bool {
+    pub fn set_fence(&self, database: DatabaseName, id: FenceId, source: &str) -> bool {
         let was_fenced = self.is_fenced(&database);
         let now = self.cx.now();
         let mut fences = self.fences.borrow_mut();
@@ -45,17 +45,17 @@
     }
 
     /// True when a fence around `database` was cleared at or after `sent` because it leads again.
-    pub fn led_anew_since(&self, sent: Timestamp, database: &DatabaseName) -> bool {
+    pub fn regained_lead_since(&self, sent: Timestamp, database: &DatabaseName) -> bool {
         self.fences.borrow().led_anew_since(sent, database)
     }
 
     /// The fences in force at this node, with their ages.
-    pub fn standing_fences(&self) -> Vec<StandingFence> {
+    pub fn active_fences(&self) -> Vec<StandingFence> {
         self.fences.borrow().standing(self.cx.now())
     }
 
     /// Adds fences that are in force at the node or relay `source`.
-    pub fn heard_of_fences(&self, fenced: impl IntoIterator<Item = StandingFence>, source: &str) {
+    pub fn merge_fences(&self, fenced: impl IntoIterator<Item = StandingFence>, source: &str) {
         let now = self.cx.now();
         for fence in fenced {
             let database = fence.database.clone();
@@ -75,7 +75,7 @@
     }
 
     /// Clears all fences around `database`, which leads its group.
-    pub fn lift_fence(&self, database: &DatabaseName) {
+    pub fn clear_fence(&self, database: &DatabaseName) {
         if self.is_fenced(database) {
             self.log_fence_cleared(database);
         }
@@ -84,7 +84,7 @@
     }
 
     /// Clears the fence of round `id` around `database`: the round ended without a replacement.
-    pub fn lift_round(&self, database: &DatabaseName, id: FenceId) {
+    pub fn clear_fence_round(&self, database: &DatabaseName, id: FenceId) {
         let was_fenced = self.is_fenced(database);
         let mut fences = self.fences.borrow_mut();
         fences.lift_round(self.cx.now(), database, id);
--- a/crates/dyketally-gateway/src/database/group.rs
+++ b/crates/dyketally-gateway/src/database/group.rs
@@ -44,7 +44,7 @@
     }
 
     /// Sets how long observations of each group are kept, from the routes in force.
-    pub fn keep_observations(&self) {
+    pub fn update_observation_retention(&self) {
         for (name, group) in self.groups.borrow().iter() {
             let mut observations = group.observations.borrow_mut();
             observations.keep_for(self.observation_retention(name));
@@ -74,7 +74,7 @@
 
     /// Time since which the primary of `group` has been known to hold `position`; zero if `position` is
     /// `None`, as it is before it was requested from the primary.
-    pub fn age_of(&self, group: &GroupName, position: Option<LogPosition>) -> Duration {
+    pub fn position_age(&self, group: &GroupName, position: Option<LogPosition>) -> Duration {
         let state = self.group(group);
         let observations = state.observations.borrow();
         position.map_or(Duration::ZERO, |position| {
@@ -83,8 +83,8 @@
     }
 
     /// Updates the lag estimate with a replica of `group` that held or lacked `position`.
-    pub fn replica_showed(&self, group: &GroupName, position: LogPosition, held: bool) {
-        let age = self.age_of(group, Some(position));
+    pub fn record_replica_lag(&self, group: &GroupName, position: LogPosition, held: bool) {
+        let age = self.position_age(group, Some(position));
         let mut lag = self.replica_lag.get();
         lag.record(self.cx.now(), age, held);
         self.replica_lag.set(lag);
--- a/crates/dyketally-gateway/src/database/health.rs
+++ b/crates/dyketally-gateway/src/database/health.rs
@@ -92,7 +92,7 @@
     }
 
     /// Records that the database's log lacked `needed`.
-    pub fn was_behind(&self, needed: LogPosition) {
+    pub fn record_behind(&self, needed: LogPosition) {
         let count = match self.behind.get() {
             Some(behind) if behind.is_excluded() => behind.count,
             Some(behind) => behind.count + 1,
@@ -103,7 +103,7 @@
     }
 
     /// Records that the database's log held the position that a read needed.
-    pub fn was_fresh(&self) {
+    pub fn record_fresh(&self) {
         self.behind.set(None);
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Records the result of a probe.
-    pub fn probed_as(&self, evidence: Evidence) {
+    pub fn record_probe(&self, evidence: Evidence) {
         self.evidence.set(Some((evidence, Instant::now())));
     }
 
--- a/crates/dyketally-gateway/src/database/pacer.rs
+++ b/crates/dyketally-gateway/src/database/pacer.rs
@@ -19,7 +19,7 @@
 /// Longest time for which a batch that has a connection waits until the cold database's rate admits it. A
 /// connection is given out only shortly before that, so a longer wait means that another node got a
 /// share of the rate meanwhile.
-pub const LONGEST_TURN: Duration = Duration::from_secs(1);
+pub const SEND_WAIT_LIMIT: Duration = Duration::from_secs(1);
 
 /// Limits the rate of this node's requests to one database while the database may be cold.
 pub struct Pacer {
@@ -120,7 +120,7 @@
     /// Whether, and after which wait, this node may send to the database.
     pub fn pace(&self) -> Pace {
         let now = self.now();
-        let heard = self.contact.heard_store(now);
+        let heard = self.contact.store_known_as_of(now);
         self.throttle.borrow_mut().pace(now, heard)
     }
 
@@ -195,12 +195,12 @@
     /// Waits until the rate admits `requests`, and counts them as sent. Returns at once for 0 requests.
     ///
     /// # Errors
-    /// The database is cold, and this node may not send to it or would wait for longer than [`LONGEST_TURN`].
+    /// The database is cold, and this node may not send to it or would wait for longer than [`SEND_WAIT_LIMIT`].
     pub async fn wait_to_send(&self, requests: u32) -> Result<(), Denial> {
         if requests == 0 {
             return Ok(());
         }
-        let until = Instant::now() + LONGEST_TURN;
+        let until = Instant::now() + SEND_WAIT_LIMIT;
         loop {
             match self.pace() {
                 Pace::Free => return Ok(()),
--- a/crates/dyketally-gateway/src/database/pool/checkout.rs
+++ b/crates/dyketally-gateway/src/database/pool/checkout.rs
@@ -9,7 +9,7 @@
 use super::Pool;
 use super::guards::Guards;
 use crate::database::batch::Batch;
-use crate::database::connection::{Answer, Broken, Connection};
+use crate::database::connection::{Answer, BrokenConnection, Connection};
 use crate::measures::Stage;
 
 /// A checked-out connection. Dropping it closes the connection; [`Checkout::give_back`] returns it to the pool.
@@ -27,7 +27,7 @@
     Denied(#[from] Denial),
     /// The connection broke; any of the steps may have run.
     #[error(transparent)]
-    Broken(#[from] Broken),
+    Broken(#[from] BrokenConnection),
 }
 
 impl Checkout {
--- a/crates/dyketally-gateway/src/database/pool/closing.rs
+++ b/crates/dyketally-gateway/src/database/pool/closing.rs
@@ -8,8 +8,8 @@
 /// How long the last idle connection is kept.
 const IDLE_LIMIT: Duration = Duration::from_secs(15);
 /// How long idle connections beyond the last one are kept. After a node loses power, its databases still count
-/// its connections for seconds, so few should stay open unused. On benchmark days with faults, limits of 5, 1.5
-/// and 0.4 s earned 0.876, 0.873 and 0.883 of the best possible value.
+/// its connections for seconds, so few should stay open unused. With limits of 5, 1.5 and 0.4 s, 0.876,
+/// 0.873 and 0.883 of the best possible request value was earned under faults.
 const SURPLUS_IDLE_LIMIT: Duration = Duration::from_millis(400);
 
 impl Pool {
--- a/crates/dyketally-gateway/src/database/pool/guards.rs
+++ b/crates/dyketally-gateway/src/database/pool/guards.rs
@@ -6,7 +6,7 @@
 use dyketally::admission::Rank;
 
 use super::Pool;
-use crate::database::claim::{Claim, Work};
+use crate::database::claim::{ConnectionRequest, ConnectionUse};
 use crate::database::pacer::BatchReservation;
 
 /// Counts a connection as open while it is being opened; dropped without [`OpenSlot::keep`], it undoes the count.
@@ -41,8 +41,8 @@
 }
 
 impl Pinned {
-    pub(super) fn take(pool: &Rc<Pool>, work: Work) -> Option<Self> {
-        if work != Work::Transaction {
+    pub(super) fn take(pool: &Rc<Pool>, work: ConnectionUse) -> Option<Self> {
+        if work != ConnectionUse::Transaction {
             return None;
         }
         pool.pinned.set(pool.pinned.get() + 1);
@@ -86,13 +86,13 @@
 }
 
 impl Guards {
-    pub(super) fn take(pool: &Rc<Pool>, claim: &Claim) -> Self {
+    pub(super) fn take(pool: &Rc<Pool>, claim: &ConnectionRequest) -> Self {
         Self {
             pinned: Pinned::take(pool, claim.work),
             running: Some(Running::begin(pool)),
             reserved: match claim.work {
-                Work::Control => None,
-                Work::Statements | Work::Transaction => pool.pacer.reserve(),
+                ConnectionUse::Control => None,
+                ConnectionUse::Statements | ConnectionUse::Transaction => pool.pacer.reserve(),
             },
         }
     }
--- a/crates/dyketally-gateway/src/database/pool/mod.rs
+++ b/crates/dyketally-gateway/src/database/pool/mod.rs
@@ -26,21 +26,21 @@
 use dyketally::time::Timestamp;
 use tokio::time::Instant;
 
-use crate::database::claim::{Claim, Work};
+use crate::database::claim::{ConnectionRequest, ConnectionUse};
 use crate::database::connection::{Answer, Connection, Connector, OpenError};
 use crate::database::pacer::Pacer;
-use crate::measures::{Handed, Measures, Stage};
+use crate::measures::{Acquired, Measures, Stage};
 use crate::ports::DatabaseUser;
 
 pub use self::checkout::{Checkout, RunError};
 use self::guards::{Guards, Running};
-pub use self::opening::OPEN_LIMIT;
+pub use self::opening::OPEN_TIMEOUT;
 use self::path::Path;
 use self::size::Size;
 use self::waiting::{WaitFor, Waiter};
 
 /// Priority of the gateway's own statements, ahead of all callers.
-pub const OWN_PRIORITY: u32 = 0;
+pub const GATEWAY_PRIORITY: u32 = 0;
 /// Priority of further batches of open transactions.
 const CONTINUATION_PRIORITY: u32 = 0;
 /// Interval at which an open transaction that waits checks again whether it may continue, in case it missed a
@@ -161,14 +161,14 @@
     pub async fn checkout(
         self: &Rc<Self>,
         values: &BTreeMap<String, String>,
-        claim: Claim,
+        claim: ConnectionRequest,
     ) -> Result<Checkout, CheckoutError> {
         let began = Instant::now();
         loop {
             if self.admits(claim.priority, WaitFor::Connection(claim.work)) {
                 if let Some(connection) = self.take_idle(claim.user.as_ref(), values) {
                     self.measures.spent(Stage::Queue, began.elapsed());
-                    self.record_acquired(Handed::Idle);
+                    self.record_acquired(Acquired::Idle);
                     let guards = Guards::take(self, &claim);
                     return Ok(Checkout::new(self.clone(), connection, guards));
                 }
@@ -178,8 +178,10 @@
                     let guards = Guards::take(self, &claim);
                     let user = claim.user.unwrap_or(DatabaseUser::Gateway);
                     let requests = match claim.work {
-                        Work::Control => 0,
-                        Work::Statements | Work::Transaction => REQUESTS_PER_OPENING,
+                        ConnectionUse::Control => 0,
+                        ConnectionUse::Statements | ConnectionUse::Transaction => {
+                            REQUESTS_PER_OPENING
+                        }
                     };
                     self.pacer.wait_to_send(requests).await?;
                     return self.open_one(user, claim.until, guards).await;
@@ -257,8 +259,8 @@
         }
     }
 
-    fn record_acquired(&self, how: Handed) {
-        self.measures.handed_out(self.group.as_str(), how);
+    fn record_acquired(&self, how: Acquired) {
+        self.measures.count_acquired(self.group.as_str(), how);
     }
 
     fn connection_closed(&self) {
--- a/crates/dyketally-gateway/src/database/pool/opening.rs
+++ b/crates/dyketally-gateway/src/database/pool/opening.rs
@@ -14,7 +14,7 @@
 
 /// Time limit for opening a connection. Opening usually takes about 12 ms, and a busy database may accept more
 /// slowly.
-pub const OPEN_LIMIT: Duration = Duration::from_millis(500);
+pub const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Pool {
     /// Opens a connection for `user` by the deadline `until`.
@@ -32,7 +32,7 @@
             database: &self.database,
         };
         let route = self.path.route();
-        let limit = OPEN_LIMIT.min(left);
+        let limit = OPEN_TIMEOUT.min(left);
         let connection = self.connector.open(route, to, user, limit);
         match connection.await {
             Ok(connection) => {
@@ -48,7 +48,7 @@
                     self.size.record_refusal(self.open.get().saturating_sub(1));
                 }
                 // With less than the full time limit, a time-out doesn't show that the database is silent.
-                match (error, left < OPEN_LIMIT) {
+                match (error, left < OPEN_TIMEOUT) {
                     (OpenError::Silent, true) => Err(CheckoutError::Exhausted),
                     (error, _) => Err(error.into()),
                 }
--- a/crates/dyketally-gateway/src/database/pool/path.rs
+++ b/crates/dyketally-gateway/src/database/pool/path.rs
@@ -46,7 +46,7 @@
 
     /// Opens connections through the node at `forwarder` for the next `FORWARDER_LIFETIME`. Idle connections use
     /// the broken direct path, so they are closed.
-    pub fn forward_by(&self, forwarder: SocketAddr) {
+    pub fn forward_through(&self, forwarder: SocketAddr) {
         if self.path.forwarder.get().is_none() {
             self.close_idle(true);
         }
--- a/crates/dyketally-gateway/src/database/pool/size.rs
+++ b/crates/dyketally-gateway/src/database/pool/size.rs
@@ -6,14 +6,14 @@
 use tokio::time::Instant;
 
 use super::Pool;
-use crate::measures::Handed;
+use crate::measures::Acquired;
 
 /// How long the pool stays within the size at which the database refused another connection. Other nodes open
 /// and close connections within seconds, so the refusal soon no longer tells how many the database accepts.
 const REFUSAL_LIFETIME: Duration = Duration::from_secs(2);
 /// One in this many connections is reserved for single statements. Without the reserve, idle transactions took
-/// all connections of a home and single statements waited behind them. A benchmark day with 120 such callers
-/// earned the same share of request value, 0.948, with and without the reserve.
+/// all connections of a home and single statements waited behind them. With 120 such callers, 0.948 of the request
+/// value was earned both with and without the reserve.
 const RESERVED_ONE_IN: u32 = 4;
 
 /// The limits of one pool.
@@ -78,14 +78,14 @@
 
     /// Makes room for opening a connection, if necessary by closing the longest idle one; `None` if the pool is
     /// full and no connection is idle.
-    pub(super) fn make_room(&self) -> Option<Handed> {
+    pub(super) fn make_room(&self) -> Option<Acquired> {
         if self.open.get() < self.size.limit() {
-            return Some(Handed::Opened);
+            return Some(Acquired::Opened);
         }
         let index = self.idle_longest()?;
         self.idle.borrow_mut().swap_remove(index);
         // No waiting request is woken, since the caller uses the room itself.
         self.open.set(self.open.get().saturating_sub(1));
-        Some(Handed::Replaced)
+        Some(Acquired::Replaced)
     }
 }
--- a/crates/dyketally-gateway/src/database/pool/waiting.rs
+++ b/crates/dyketally-gateway/src/database/pool/waiting.rs
@@ -6,14 +6,14 @@
 use tokio::time::Instant;
 
 use super::guards::Waiting;
-use super::{CheckoutError, OWN_PRIORITY, Pool};
-use crate::database::claim::Work;
+use super::{CheckoutError, GATEWAY_PRIORITY, Pool};
+use crate::database::claim::ConnectionUse;
 
 /// What a queued request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WaitFor {
     /// A connection for this purpose.
-    Connection(Work),
+    Connection(ConnectionUse),
     /// Admission of a further batch of a transaction, which has its connection already.
     Continuation,
 }
@@ -33,15 +33,15 @@
         let may_run = self.gate.borrow().admits();
         match wait_for {
             // Control requests are few, and the gateway depends on their answers.
-            WaitFor::Connection(Work::Control) => true,
-            WaitFor::Connection(_) if priority == OWN_PRIORITY => self.pacer.admits(),
+            WaitFor::Connection(ConnectionUse::Control) => true,
+            WaitFor::Connection(_) if priority == GATEWAY_PRIORITY => self.pacer.admits(),
             WaitFor::Connection(work) => may_run && self.admits_use(work) && self.pacer.admits(),
             WaitFor::Continuation => may_run,
         }
     }
 
-    fn admits_use(&self, work: Work) -> bool {
-        work != Work::Transaction || self.pinned.get() < self.size.transaction_limit()
+    fn admits_use(&self, work: ConnectionUse) -> bool {
+        work != ConnectionUse::Transaction || self.pinned.get() < self.size.transaction_limit()
     }
 
     /// Queues a request until it is woken; [`CheckoutError::Exhausted`] if that doesn't happen by `until`.
--- a/crates/dyketally-gateway/src/database/primary.rs
+++ b/crates/dyketally-gateway/src/database/primary.rs
@@ -22,12 +22,12 @@
     fn report(&self, target: &Target);
 
     /// Checks whether a primary has to be replaced, after databases or evacuations changed.
-    fn look_at_primaries(&self);
+    fn check_primaries(&self);
 }
 
 impl Databases {
     /// Sets the watch, which is created after `Databases` since it depends on it.
-    pub fn watched_by(&self, watch: Weak<dyn PrimaryWatch>) {
+    pub fn set_primary_watch(&self, watch: Weak<dyn PrimaryWatch>) {
         *self.primary_watch.borrow_mut() = Some(watch);
     }
 
--- a/crates/dyketally-gateway/src/database/slow_start.rs
+++ b/crates/dyketally-gateway/src/database/slow_start.rs
@@ -31,7 +31,7 @@
     }
 
     /// Records for how long a database announces itself as cold. Call it after the directory was updated.
-    pub fn start_announced(&self, announcement: &Announcement) {
+    pub fn record_start_announcement(&self, announcement: &Announcement) {
         let database = &announcement.database;
         let pacer = self.pacer(database);
         let was_cold = !pacer.announced_cold_for().is_zero();
@@ -48,12 +48,12 @@
 
     /// Records that a database no longer announces itself, so that it may restart without this node's
     /// knowledge.
-    pub fn start_is_unknown(&self, database: &DatabaseName) {
+    pub fn record_unannounced(&self, database: &DatabaseName) {
         self.pacer(database).record_possible_restart();
     }
 
     /// Records that databases missing from `listed` no longer announce themselves.
-    pub fn starts_are_unknown_but_for(&self, listed: &[Announcement]) {
+    pub fn record_unannounced_except(&self, listed: &[Announcement]) {
         for (name, pacer) in self.pacers() {
             if listed
                 .iter()
--- a/crates/dyketally-gateway/src/decision/give_up.rs
+++ b/crates/dyketally-gateway/src/decision/give_up.rs
@@ -86,10 +86,10 @@
     let is_late = elapsed >= objective.mul_f64(REFUSED_AFTER_SHARE);
     match refusal {
         FailureKind::QueueTooLong => Some(Reason::QueueTooLong),
-        FailureKind::NotServedHere => Some(Reason::NotServedThere),
+        FailureKind::NotServedHere => Some(Reason::DatabaseMayNotServe),
         FailureKind::DatabaseCold => Some(Reason::DatabaseCold),
         FailureKind::NoConnection | FailureKind::Overloaded if is_late => {
-            Some(Reason::ConnectionsShort)
+            Some(Reason::NoFreeConnection)
         }
         _ => None,
     }
--- a/crates/dyketally-gateway/src/decision/reason.rs
+++ b/crates/dyketally-gateway/src/decision/reason.rs
@@ -13,13 +13,13 @@
     /// it until the configuration changes ([`give_up`](super::give_up)).
     NothingMayServe,
     /// The database that it was sent to may not serve it ([`give_up`](super::give_up)).
-    NotServedThere,
+    DatabaseMayNotServe,
     /// The queue for a connection was so long that it would have timed out ([`admit`](super::admit)).
     QueueTooLong,
     /// The database has just started and accepts no more statements for now ([`give_up`](super::give_up)).
     DatabaseCold,
     /// It had no connection after a large share of its latency objective ([`give_up`](super::give_up)).
-    ConnectionsShort,
+    NoFreeConnection,
     /// Its group has had no usable primary for longer than a failover takes ([`wait`](super::wait)).
     PrimaryUnavailable,
     /// It found no usable primary before the wait limit ([`wait`](super::wait)).
@@ -55,10 +55,10 @@
         f.write_str(match self {
             Self::Answered => "a database answered",
             Self::NothingMayServe => "no database of the group may serve it",
-            Self::NotServedThere => "the database may not serve it",
+            Self::DatabaseMayNotServe => "the database may not serve it",
             Self::QueueTooLong => "the queue for a connection was too long",
             Self::DatabaseCold => "the database has just started and took no more",
-            Self::ConnectionsShort => "no connection was free for too long",
+            Self::NoFreeConnection => "no connection was free for too long",
             Self::PrimaryUnavailable => "the group has had no usable primary for long",
             Self::NoPrimaryInTime => "no usable primary was found in time",
             Self::TimeUsedUp => "its time was used up before it could run",
--- a/crates/dyketally-gateway/src/decision/wait.rs
+++ b/crates/dyketally-gateway/src/decision/wait.rs
@@ -22,13 +22,13 @@
 const _: () = assert!(RETRY_PAUSE.as_millis() * 2 <= MIN_PRIMARY_WAIT.as_millis());
 
 /// True while an attempt that failed `since_last` after the previous one belongs to the same outage.
-pub fn is_same_loss(since_last: Duration) -> bool {
+pub fn is_same_outage(since_last: Duration) -> bool {
     since_last < SAME_OUTAGE_GAP
 }
 
 /// How long a new statement waits for a primary that has been missing for `missing_for`, which is zero
 /// before an attempt has failed.
-pub fn for_primary(missing_for: Duration) -> Duration {
+pub fn primary_wait(missing_for: Duration) -> Duration {
     PRIMARY_WAIT
         .saturating_sub(missing_for)
         .max(MIN_PRIMARY_WAIT)
--- a/crates/dyketally-gateway/src/fleet/access.rs
+++ b/crates/dyketally-gateway/src/fleet/access.rs
@@ -14,10 +14,10 @@
 
 use crate::database::Databases;
 use crate::database::batch::Batch;
-use crate::database::claim::{Claim, Work};
-use crate::database::connection::{Answer, Broken};
+use crate::database::claim::{ConnectionRequest, ConnectionUse};
+use crate::database::connection::{Answer, BrokenConnection};
 use crate::database::health::InFlight;
-use crate::database::pacer::LONGEST_TURN;
+use crate::database::pacer::SEND_WAIT_LIMIT;
 use crate::database::target::Target;
 use crate::fleet::Fleet;
 use crate::fleet::connection::DatabaseConnection;
@@ -41,7 +41,7 @@
     /// No step was run.
     NotRun(FailureKind),
     /// The batch was sent and its answers were lost, so that any step may have run.
-    Lost(Broken),
+    Lost(BrokenConnection),
 }
 
 /// Access to databases by all paths that this node has.
@@ -67,7 +67,7 @@
         self: &Rc<Self>,
         target: &Target,
         values: &BTreeMap<String, String>,
-        claim: Claim,
+        claim: ConnectionRequest,
     ) -> Result<DatabaseConnection, FailureKind> {
         match self.path_to(&target.name, &claim) {
             ConnectionPath::ViaHomes(homes) => {
@@ -83,14 +83,14 @@
         }
     }
 
-    /// The path by which this node reaches a database for `claim`. If no home is usable in the claim's
+    /// The path by which this node reaches a database for `request`. If no home is usable in the request's
     /// regions, this node uses a connection of its own. Statements reach a cold database only through the
     /// nodes that send to it while it is cold.
-    fn path_to(&self, database: &DatabaseName, claim: &Claim) -> ConnectionPath {
+    fn path_to(&self, database: &DatabaseName, claim: &ConnectionRequest) -> ConnectionPath {
         let Some(placement) = self.fleet.placement_of(database) else {
             return ConnectionPath::Own;
         };
-        if claim.work != Work::Control && self.databases.pacer(database).is_cold() {
+        if claim.work != ConnectionUse::Control && self.databases.pacer(database).is_cold() {
             return match placement.may_send_cold {
                 true => ConnectionPath::Own,
                 false => ConnectionPath::ViaHomes(placement.ordered_cold_senders(&claim.regions)),
@@ -128,7 +128,7 @@
         // to answer. Without this allowance many nodes would probe it, and their connections would load
         // it further.
         let probe_after = match target.state.pool.is_cold() {
-            true => PROBE_AFTER + LONGEST_TURN,
+            true => PROBE_AFTER + SEND_WAIT_LIMIT,
             false => PROBE_AFTER,
         };
         let result = match tokio::time::timeout(probe_after, &mut run).await {
--- a/crates/dyketally-gateway/src/fleet/connection.rs
+++ b/crates/dyketally-gateway/src/fleet/connection.rs
@@ -8,7 +8,7 @@
 
 use crate::database::batch::{Batch, Reset};
 use crate::database::claim::Refusal;
-use crate::database::connection::{Answer, leave_idle};
+use crate::database::connection::{Answer, end_outside_transaction};
 use crate::database::pool;
 use crate::fleet::link::{CallError, HomeCall};
 use crate::ports::OwnStatement;
@@ -46,7 +46,7 @@
             let Ok(Ok(answers)) = rolled_back else {
                 return;
             };
-            if leave_idle(&answers) {
+            if end_outside_transaction(&answers) {
                 checkout.give_back();
             }
         });
--- a/crates/dyketally-gateway/src/fleet/forwarding.rs
+++ b/crates/dyketally-gateway/src/fleet/forwarding.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use crate::database::connection::{Forwarding, prepare_socket};
-use crate::database::pool::OPEN_LIMIT;
+use crate::database::pool::OPEN_TIMEOUT;
 use crate::database::target::Target;
 use crate::fleet::access::DatabaseAccess;
 use crate::fleet::opening::{self, Opening};
@@ -48,7 +48,7 @@
         member.map(|member| member.announcement.address)
     };
     let address = address.ok_or(std::io::ErrorKind::NotFound)?;
-    let mut onward = tokio::time::timeout(OPEN_LIMIT, TcpStream::connect(address)).await??;
+    let mut onward = tokio::time::timeout(OPEN_TIMEOUT, TcpStream::connect(address)).await??;
     prepare_socket(&onward);
     tokio::io::copy_bidirectional(&mut stream, &mut onward).await?;
     Ok(())
@@ -71,7 +71,7 @@
             {
                 let may_forward = access.may_forward(vote.from, &target);
                 if vote.evidence == Evidence::Answered && may_forward {
-                    target.state.pool.forward_by(vote.from);
+                    target.state.pool.forward_through(vote.from);
                     access.fleet.cx.changes.notify();
                     return;
                 }
--- a/crates/dyketally-gateway/src/fleet/home.rs
+++ b/crates/dyketally-gateway/src/fleet/home.rs
@@ -13,8 +13,8 @@
 use tokio::time::Instant;
 
 use crate::database::batch::{Batch, Reset};
-use crate::database::claim::{Claim, Refusal};
-use crate::database::connection::{Broken, leave_idle};
+use crate::database::claim::{ConnectionRequest, Refusal};
+use crate::database::connection::{BrokenConnection, end_outside_transaction};
 use crate::database::target::Target;
 use crate::fleet::Fleet;
 use crate::fleet::access::{DatabaseAccess, ExchangeError};
@@ -127,10 +127,10 @@
     let exchange = access.exchange(&mut checkout, &target, &call.batch, permission);
     match exchange.await {
         Ok(_) if call.batch.needs_leader() && access.databases.is_fenced(&target.name) => {
-            (CallReply::Broken(Broken::replaced().reason), None)
+            (CallReply::Broken(BrokenConnection::replaced().reason), None)
         }
         Ok(answers) => {
-            if leave_idle(&answers) {
+            if end_outside_transaction(&answers) {
                 checkout.give_back();
                 return (CallReply::Answers(answers), None);
             }
@@ -163,7 +163,7 @@
         true => Intent::first(&ServingRegions::anywhere(), needs_leader),
         false => Intent::further(needs_leader),
     };
-    access.databases.may_send(target, &intent)
+    access.databases.permission_to_send(target, &intent)
 }
 
 fn denied(denial: Denial) -> CallReply {
@@ -190,7 +190,7 @@
     let none = BTreeMap::new();
     let context = call.batch.context.as_ref();
     let values = context.map_or(&none, |context| &context.values);
-    let claim = Claim {
+    let claim = ConnectionRequest {
         priority: call.priority,
         until: Instant::now() + Duration::from_millis(call.wait_limit_ms.into()),
         patience: Patience {
--- a/crates/dyketally-gateway/src/fleet/link/call.rs
+++ b/crates/dyketally-gateway/src/fleet/link/call.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::database::batch::Batch;
-use crate::database::claim::{Refusal, Work};
-use crate::database::connection::{Answer, Broken};
+use crate::database::claim::{ConnectionUse, Refusal};
+use crate::database::connection::{Answer, BrokenConnection};
 use crate::ports::DatabaseUser;
 
 /// A request to a home to run a batch at a database.
@@ -26,7 +26,7 @@
     /// drain.
     pub standing_ms: u32,
     /// The kind of use that the connection is wanted for.
-    pub work: Work,
+    pub work: ConnectionUse,
     /// The user as which the connection must be open; `None` if any user will do.
     pub user: Option<DatabaseUser>,
     /// The batch to run: borrowed by the sender, owned by the receiver.
@@ -52,7 +52,7 @@
     /// No step was run, for the reason given.
     NotRun(Refusal),
     /// The connection to the database broke; any step may have run.
-    DatabaseBroke(Broken),
+    DatabaseBroke(BrokenConnection),
     /// The home didn't reply, or stops while a transaction is open; any step may have run.
-    HomeLost(Broken),
+    HomeLost(BrokenConnection),
 }
--- a/crates/dyketally-gateway/src/fleet/link/home_call.rs
+++ b/crates/dyketally-gateway/src/fleet/link/home_call.rs
@@ -13,8 +13,8 @@
 use super::links::Link;
 use super::{Call, CallError, CallReply};
 use crate::database::batch::Batch;
-use crate::database::claim::{Claim, Refusal};
-use crate::database::connection::{Answer, Broken, leave_idle};
+use crate::database::claim::{ConnectionRequest, Refusal};
+use crate::database::connection::{Answer, BrokenConnection, end_outside_transaction};
 use crate::fleet::access::DatabaseAccess;
 use crate::measures::Stage;
 
@@ -27,7 +27,7 @@
     access: Rc<DatabaseAccess>,
     database: DatabaseName,
     homes: Rc<[SocketAddr]>,
-    claim: Claim,
+    claim: ConnectionRequest,
     link: Option<(SocketAddr, Link)>,
     /// True while the home has pinned a connection to the link, as a transaction is open on it.
     pinned: bool,
@@ -41,7 +41,7 @@
         access: Rc<DatabaseAccess>,
         database: DatabaseName,
         homes: Rc<[SocketAddr]>,
-        claim: Claim,
+        claim: ConnectionRequest,
     ) -> Self {
         Self {
             access,
@@ -98,7 +98,7 @@
             match reply {
                 CallReply::Answers(answers) => {
                     self.access.databases.pacer(&self.database).ran();
-                    self.pinned = !leave_idle(&answers);
+                    self.pinned = !end_outside_transaction(&answers);
                     return Ok(answers);
                 }
                 CallReply::Leaving if !self.pinned => {
@@ -106,7 +106,9 @@
                     self.exclude(home);
                 }
                 CallReply::Leaving => {
-                    return Err(CallError::HomeLost(Broken::new("the home is stopping")));
+                    return Err(CallError::HomeLost(BrokenConnection::new(
+                        "the home is stopping",
+                    )));
                 }
                 CallReply::Refused(refusal)
                     if refusal.kind == FailureKind::DatabaseCold && !self.pinned =>
@@ -116,7 +118,7 @@
                 }
                 CallReply::Refused(refusal) => return Err(CallError::NotRun(refusal)),
                 CallReply::Broken(reason) => {
-                    return Err(CallError::DatabaseBroke(Broken::new(reason)));
+                    return Err(CallError::DatabaseBroke(BrokenConnection::new(reason)));
                 }
             }
         }
--- a/crates/dyketally-gateway/src/fleet/link/links.rs
+++ b/crates/dyketally-gateway/src/fleet/link/links.rs
@@ -14,7 +14,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 use super::{Call, CallReply};
-use crate::database::connection::{Broken, is_quiet};
+use crate::database::connection::{BrokenConnection, is_open_without_input};
 use crate::fleet::Fleet;
 use crate::fleet::opening::{self, Opening};
 
@@ -63,24 +63,26 @@
 
     /// True when the home closed the idle link or sent something unrequested on it.
     fn is_stale(&self) -> bool {
-        !is_quiet(self.frames.get_ref())
+        !is_open_without_input(self.frames.get_ref())
     }
 
     pub(super) async fn call(
         &mut self,
         fleet: &Fleet,
         call: &Call<'_>,
-    ) -> Result<CallReply, Broken> {
-        let message = postcard::to_stdvec(call).map_err(Broken::new)?;
+    ) -> Result<CallReply, BrokenConnection> {
+        let message = postcard::to_stdvec(call).map_err(BrokenConnection::new)?;
         fleet.count_sent("call", self.home, message.len());
         self.frames
             .send(Bytes::from(message))
             .await
-            .map_err(Broken::new)?;
+            .map_err(BrokenConnection::new)?;
         match self.frames.next().await {
-            Some(Ok(reply)) => postcard::from_bytes(&reply).map_err(Broken::new),
-            Some(Err(error)) => Err(Broken::new(error)),
-            None => Err(Broken::new("the home closed the link without a reply")),
+            Some(Ok(reply)) => postcard::from_bytes(&reply).map_err(BrokenConnection::new),
+            Some(Err(error)) => Err(BrokenConnection::new(error)),
+            None => Err(BrokenConnection::new(
+                "the home closed the link without a reply",
+            )),
         }
     }
 }
--- a/crates/dyketally-gateway/src/fleet/listener.rs
+++ b/crates/dyketally-gateway/src/fleet/listener.rs
@@ -8,7 +8,7 @@
 
 use crate::context::accept;
 use crate::database::connection::prepare_socket;
-use crate::database::pool::OPEN_LIMIT;
+use crate::database::pool::OPEN_TIMEOUT;
 use crate::fleet::access::DatabaseAccess;
 use crate::fleet::opening::{self, Opening};
 use crate::fleet::{forwarding, home};
@@ -45,7 +45,7 @@
     forwarded: Rc<()>,
 ) -> std::io::Result<()> {
     prepare_socket(&stream);
-    match tokio::time::timeout(OPEN_LIMIT, opening::read(&mut stream)).await?? {
+    match tokio::time::timeout(OPEN_TIMEOUT, opening::read(&mut stream)).await?? {
         Opening::Forward { .. } if Rc::strong_count(&forwarded) > MAX_FORWARDED => Ok(()),
         Opening::Forward { database } => forwarding::forward(&access, stream, &database).await,
         Opening::Calls => {
--- a/crates/dyketally-gateway/src/fleet/membership.rs
+++ b/crates/dyketally-gateway/src/fleet/membership.rs
@@ -92,7 +92,7 @@
     }
 
     /// Addresses of the relays that seeds named.
-    pub fn named_relays(&self) -> Vec<SocketAddr> {
+    pub fn relays_from_seeds(&self) -> Vec<SocketAddr> {
         self.named_relays.borrow().clone()
     }
 
@@ -153,7 +153,7 @@
 
     /// Addresses of all nodes except `own` that may still run: those that the store lists, and those whose
     /// key has been gone for less than `DEPARTED_RETENTION`.
-    pub fn electorate(&self, own: &NodeName) -> Vec<SocketAddr> {
+    pub fn possibly_running(&self, own: &NodeName) -> Vec<SocketAddr> {
         let departed = self.departed.borrow();
         let departed = departed.values();
         let remembered =
--- a/crates/dyketally-gateway/src/fleet/message.rs
+++ b/crates/dyketally-gateway/src/fleet/message.rs
@@ -65,30 +65,30 @@
         heard: Vec<SocketAddr>,
     },
     /// Clears the fence around a database that won't be replaced.
-    LiftFence {
+    ClearFence {
         /// The fenced database.
         database: DatabaseName,
         /// The round of fences that is over.
         id: FenceId,
     },
     /// Requests a sign of life.
-    SignOfLifeAsked {
+    SignOfLifeRequest {
         /// Identifies the request in replies.
         round: u64,
     },
-    /// Replies to [`PeerMessage::SignOfLifeAsked`].
-    SignOfLife {
+    /// Replies to [`PeerMessage::SignOfLifeRequest`].
+    SignOfLifeReply {
         /// The request that this message replies to.
         round: u64,
         /// The fences that are set at the sender.
         fenced: Vec<StandingFence>,
     },
     /// Requests the failover coordinator's grant of contact.
-    ContactAsked {
+    ContactRequest {
         /// Identifies the request in replies.
         round: u64,
     },
-    /// Replies to [`PeerMessage::ContactAsked`] with the ages of the sender's own contacts.
+    /// Replies to [`PeerMessage::ContactRequest`] with the ages of the sender's own contacts.
     ContactReply {
         /// The request that this message replies to.
         round: u64,
@@ -101,23 +101,23 @@
         /// The fences that are set at the sender.
         fenced: Vec<StandingFence>,
     },
-    /// Requests a heartbeat. Unlike for [`PeerMessage::SignOfLifeAsked`], the reply doesn't count as
+    /// Requests a heartbeat. Unlike for [`PeerMessage::SignOfLifeRequest`], the reply doesn't count as
     /// contact of the requester with other nodes.
-    HeartbeatAsked,
-    /// Replies to [`PeerMessage::HeartbeatAsked`]: the sender's process is running.
-    Heartbeat,
+    HeartbeatRequest,
+    /// Replies to [`PeerMessage::HeartbeatRequest`]: the sender's process is running.
+    HeartbeatReply,
     /// Requests the relays that a node of a zone should follow.
-    RelaysAsked {
+    RelaysRequest {
         /// The zone of the requester.
         zone: ZoneName,
     },
-    /// Replies to [`PeerMessage::RelaysAsked`].
-    Relays {
+    /// Replies to [`PeerMessage::RelaysRequest`].
+    RelaysReply {
         /// Addresses at which the relays receive messages of other nodes, in the order of preference.
         relays: Vec<SocketAddr>,
     },
     /// Requests permission to run operations of a tenant that has a quota.
-    PermitAsked {
+    PermitRequest {
         /// Identifies the request in replies.
         round: u64,
         /// The tenant.
@@ -127,30 +127,30 @@
         /// The role that the receiver has for the tenant, as far as the sender knows.
         role: Role,
     },
-    /// Replies to [`PeerMessage::PermitAsked`].
-    PermitDecided {
+    /// Replies to [`PeerMessage::PermitRequest`].
+    PermitReply {
         /// The request that this message replies to.
         round: u64,
         /// The sender's decision as the tenant's accountant or stand-in.
         decision: Decision,
     },
     /// Checks that the receiver can be reached.
-    ReachAsked {
+    ReachRequest {
         /// Identifies the request in replies.
         round: u64,
     },
-    /// Replies to [`PeerMessage::ReachAsked`].
+    /// Replies to [`PeerMessage::ReachRequest`].
     ReachReply {
         /// The request that this message replies to.
         round: u64,
     },
     /// The sender's process is about to end.
-    Ends {
+    NodeStopping {
         /// The sender.
         node: NodeName,
     },
     /// A database has become the primary of its group.
-    Leads {
+    NewLeader {
         /// The group.
         group: GroupName,
         /// The new primary.
@@ -169,21 +169,21 @@
             Self::CoordinatorAnnounced { .. } => "has_duty",
             Self::Fence { .. } => "fence",
             Self::FenceReply { .. } => "fence_reply",
-            Self::LiftFence { .. } => "lift_fence",
-            Self::SignOfLifeAsked { .. } => "are_you_there",
-            Self::SignOfLife { .. } => "here",
-            Self::ContactAsked { .. } => "contact_asked",
+            Self::ClearFence { .. } => "lift_fence",
+            Self::SignOfLifeRequest { .. } => "are_you_there",
+            Self::SignOfLifeReply { .. } => "here",
+            Self::ContactRequest { .. } => "contact_asked",
             Self::ContactReply { .. } => "contact_told",
-            Self::HeartbeatAsked => "heartbeat_asked",
-            Self::Heartbeat => "heartbeat",
-            Self::RelaysAsked { .. } => "relays_asked",
-            Self::Relays { .. } => "relays",
-            Self::PermitAsked { .. } => "permit_asked",
-            Self::PermitDecided { .. } => "permit_decided",
-            Self::ReachAsked { .. } => "reach_asked",
+            Self::HeartbeatRequest => "heartbeat_asked",
+            Self::HeartbeatReply => "heartbeat",
+            Self::RelaysRequest { .. } => "relays_asked",
+            Self::RelaysReply { .. } => "relays",
+            Self::PermitRequest { .. } => "permit_asked",
+            Self::PermitReply { .. } => "permit_decided",
+            Self::ReachRequest { .. } => "reach_asked",
             Self::ReachReply { .. } => "reach_reply",
-            Self::Ends { .. } => "ends",
-            Self::Leads { .. } => "leads",
+            Self::NodeStopping { .. } => "ends",
+            Self::NewLeader { .. } => "leads",
         }
     }
 }
--- a/crates/dyketally-gateway/src/fleet/passed_over.rs
+++ b/crates/dyketally-gateway/src/fleet/passed_over.rs
@@ -12,11 +12,11 @@
 
 /// Nodes that are excluded, each with the time since when.
 #[derive(Debug, Default)]
-pub struct PassedOver {
+pub struct Exclusions {
     since: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
-impl PassedOver {
+impl Exclusions {
     /// Excludes a node for `EXCLUSION_TIME` from now on.
     pub fn add(&self, node: SocketAddr) {
         let mut since = self.since.borrow_mut();
--- a/crates/dyketally-gateway/src/fleet/peer/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/mod.rs
@@ -122,9 +122,9 @@
     }
 
     /// Sends a message to all other nodes that may run, whether or not the store lists them.
-    pub fn broadcast_to_electorate(&self, message: &PeerMessage) {
+    pub fn broadcast_to_possibly_running(&self, message: &PeerMessage) {
         let own = &self.access.fleet.cx.settings.node.name;
-        for address in self.access.fleet.membership.electorate(own) {
+        for address in self.access.fleet.membership.possibly_running(own) {
             self.send(address, message);
         }
     }
@@ -132,7 +132,7 @@
     /// True when the node at `address` replies to a datagram within `REACH_ATTEMPTS` times `REACH_TIMEOUT`.
     pub async fn is_reachable(&self, address: SocketAddr) -> bool {
         let mut replies = self.collect_reach_replies();
-        let message = PeerMessage::ReachAsked {
+        let message = PeerMessage::ReachRequest {
             round: replies.round,
         };
         for _ in 0..REACH_ATTEMPTS {
@@ -167,7 +167,7 @@
         self.permit_rounds.open(self.next_round())
     }
 
-    /// Opens a round that collects replies to [`PeerMessage::ReachAsked`].
+    /// Opens a round that collects replies to [`PeerMessage::ReachRequest`].
     pub fn collect_reach_replies(&self) -> Replies<()> {
         self.reach_rounds.open(self.next_round())
     }
--- a/crates/dyketally-gateway/src/fleet/peer/poll.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/poll.rs
@@ -54,7 +54,7 @@
     fn nodes_to_poll(&self, database: &DatabaseName) -> Vec<SocketAddr> {
         let own = &self.access.fleet.cx.settings.node.name;
         let mut polled = self.access.fleet.homes_of(database);
-        let mut others = self.access.fleet.membership.electorate(own);
+        let mut others = self.access.fleet.membership.possibly_running(own);
         others.retain(|address| !polled.contains(address));
         others.shuffle(&mut rand::rng());
         // Nodes in the database's own region come last: they may be lost together with it and couldn't reply.
--- a/crates/dyketally-gateway/src/fleet/peer/requests.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/requests.rs
@@ -93,23 +93,21 @@
                 };
                 self.fence_rounds.deliver(round, reply);
             }
-            PeerMessage::LiftFence { database, id } => {
-                self.access.databases.lift_round(&database, id)
+            PeerMessage::ClearFence { database, id } => {
+                self.access.databases.clear_fence_round(&database, id)
             }
-            PeerMessage::SignOfLifeAsked { round } => {
+            PeerMessage::SignOfLifeRequest { round } => {
                 self.sign_of_life_requesters
                     .borrow_mut()
                     .insert(from, Instant::now());
-                let fenced = self.access.databases.standing_fences();
-                self.send(from, &PeerMessage::SignOfLife { round, fenced });
+                let fenced = self.access.databases.active_fences();
+                self.send(from, &PeerMessage::SignOfLifeReply { round, fenced });
             }
-            PeerMessage::SignOfLife { round, fenced } => {
-                self.access
-                    .databases
-                    .heard_of_fences(fenced, "a sign of life");
+            PeerMessage::SignOfLifeReply { round, fenced } => {
+                self.access.databases.merge_fences(fenced, "a sign of life");
                 self.sign_of_life_rounds.deliver(round, from);
             }
-            PeerMessage::ContactAsked { round } => {
+            PeerMessage::ContactRequest { round } => {
                 self.send(from, &requests.grant_reply(round));
             }
             PeerMessage::ContactReply {
@@ -120,47 +118,49 @@
             } => {
                 self.access
                     .databases
-                    .heard_of_fences(fenced, "a reply about contact");
+                    .merge_fences(fenced, "a reply about contact");
                 requests.receive_grant(round, granted_ms, majority_ms);
             }
-            PeerMessage::HeartbeatAsked => self.send(from, &PeerMessage::Heartbeat),
-            PeerMessage::Heartbeat => {
+            PeerMessage::HeartbeatRequest => self.send(from, &PeerMessage::HeartbeatReply),
+            PeerMessage::HeartbeatReply => {
                 if let Some(heartbeats) = self.heartbeats.borrow().as_ref() {
                     // Fails only when the task that counts heartbeats has ended, as the process is stopping.
                     let _ = heartbeats.send(from);
                 }
             }
-            PeerMessage::RelaysAsked { zone } => {
+            PeerMessage::RelaysRequest { zone } => {
                 let relays = requests.relays_for(&zone);
-                self.send(from, &PeerMessage::Relays { relays });
+                self.send(from, &PeerMessage::RelaysReply { relays });
+            }
+            PeerMessage::RelaysReply { relays } => {
+                self.access.fleet.membership.add_named_relays(relays)
             }
-            PeerMessage::Relays { relays } => self.access.fleet.membership.add_named_relays(relays),
-            PeerMessage::PermitAsked {
+            PeerMessage::PermitRequest {
                 round,
                 tenant,
                 wanted,
                 role,
             } => {
                 if let Some(decision) = requests.account(&tenant, wanted, role) {
-                    self.send(from, &PeerMessage::PermitDecided { round, decision });
+                    self.send(from, &PeerMessage::PermitReply { round, decision });
                 }
             }
-            PeerMessage::PermitDecided { round, decision } => {
+            PeerMessage::PermitReply { round, decision } => {
                 self.permit_rounds.deliver(round, decision);
             }
-            PeerMessage::ReachAsked { round } => {
+            PeerMessage::ReachRequest { round } => {
                 self.send(from, &PeerMessage::ReachReply { round });
             }
             PeerMessage::ReachReply { round } => self.reach_rounds.deliver(round, ()),
-            PeerMessage::Ends { node } => self.access.fleet.membership.record_ended(&node),
+            PeerMessage::NodeStopping { node } => self.access.fleet.membership.record_ended(&node),
             PeerMessage::CoordinatorAnnounced { record } => {
                 self.access.fleet.coordinator.receive_announcement(record)
             }
-            PeerMessage::Leads { database, .. } => {
+            PeerMessage::NewLeader { database, .. } => {
                 let mut directory = self.access.databases.directory.borrow_mut();
                 directory.acted_as_primary(&database);
                 drop(directory);
-                self.access.databases.lift_fence(&database);
+                self.access.databases.clear_fence(&database);
             }
         }
     }
--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -74,7 +74,7 @@
             sessions,
         });
         let watch: Weak<Leadership> = Rc::downgrade(&gateway.leadership);
-        gateway.databases.watched_by(watch);
+        gateway.databases.set_primary_watch(watch);
         gateway
     }
 
@@ -88,7 +88,7 @@
 
     /// Applies a configuration, unless the current one has the same or a higher revision. `stored` is the
     /// store's revision at which the configuration was put.
-    pub fn put_in_force(&self, routes: RouteSet, stored: StoreRevision) {
+    pub fn apply_configuration(&self, routes: RouteSet, stored: StoreRevision) {
         let in_force = self.cx.routes().revision;
         if self.cx.is_configured() && routes.revision <= in_force {
             // Copies of the store deliver the current configuration repeatedly, which needs no log line.
@@ -115,18 +115,18 @@
             }
         }
         self.databases.apply_shares();
-        self.databases.keep_observations();
+        self.databases.update_observation_retention();
         self.cx.changes.notify();
     }
 
     /// Writes the counters to the log.
-    pub fn tell_counters(&self) {
+    pub fn log_counters(&self) {
         self.cx.events.write(&Event::Counters(&self.cx.counters));
     }
 
     /// Runs the periodic tasks: logs the counters, and tidies databases and idle links.
     pub fn tidy(&self) {
-        self.tell_counters();
+        self.log_counters();
         self.databases.tidy();
         self.fleet.links.close_expired();
     }
--- a/crates/dyketally-gateway/src/measures.rs
+++ b/crates/dyketally-gateway/src/measures.rs
@@ -51,7 +51,7 @@
 
 /// How a pool provided a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Handed {
+pub enum Acquired {
     /// An idle connection was used.
     Idle,
     /// A connection was opened within the pool's limit.
@@ -60,7 +60,7 @@
     Replaced,
 }
 
-impl Handed {
+impl Acquired {
     fn name(self) -> &'static str {
         match self {
             Self::Idle => "idle",
@@ -144,7 +144,7 @@
     }
 
     /// Counts a connection that was checked out of a pool.
-    pub fn handed_out(&self, group: &str, how: Handed) {
+    pub fn count_acquired(&self, group: &str, how: Acquired) {
         self.connections
             .with_label_values(&[group, how.name()])
             .inc();
--- a/crates/dyketally-gateway/src/node/exposition.rs
+++ b/crates/dyketally-gateway/src/node/exposition.rs
@@ -86,7 +86,7 @@
             "1 while this node is the failover coordinator, which replaces primaries.",
             has_duty,
         );
-        let in_touch = usize::from(self.gateway.cx.is_in_touch());
+        let in_touch = usize::from(self.gateway.cx.is_in_contact());
         set(
             "dyketally_in_touch",
             "1 while this node's contact ensures that it would learn of a replaced primary.",
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -35,7 +35,7 @@
 };
 use crate::settings::Settings;
 use crate::store::feed::{self, ask_seeds};
-use crate::store::keys::Keys;
+use crate::store::keys::StoreKeys;
 use crate::store::liveness::Liveness;
 use crate::store::metered_store::StoreCalls;
 use crate::store::parts::StoreParts;
@@ -97,7 +97,7 @@
     let peers = Peers::new(gateway.access.clone(), socket);
     *gateway.fleet.peers.borrow_mut() = Some(peers.clone());
     let prefix = adapters.documents.own_prefix();
-    let keys = Rc::new(Keys::new(prefix, own_record(&gateway)));
+    let keys = Rc::new(StoreKeys::new(prefix, own_record(&gateway)));
     let parts = StoreParts {
         cx: gateway.cx.clone(),
         fleet: gateway.fleet.clone(),
@@ -159,7 +159,7 @@
     }
     let keys_released = futures::future::join(registration_ended, coordination_ended);
     stop::stop(&gateway, keys_released, accepting).await;
-    peers.broadcast(&PeerMessage::Ends {
+    peers.broadcast(&PeerMessage::NodeStopping {
         node: gateway.cx.settings.node.name.clone(),
     });
     Ok(())
--- a/crates/dyketally-gateway/src/node/nodes_handler.rs
+++ b/crates/dyketally-gateway/src/node/nodes_handler.rs
@@ -8,17 +8,17 @@
 
 use crate::fleet::membership::NodeRecord;
 use crate::gateway::Gateway;
-use crate::store::keys::Keys;
+use crate::store::keys::StoreKeys;
 
 /// Applies updates of the nodes' keys.
 pub(super) struct NodesHandler {
     gateway: Rc<Gateway>,
-    keys: Rc<Keys>,
+    keys: Rc<StoreKeys>,
 }
 
 impl NodesHandler {
     /// A handler that recognizes the keys by `keys` and applies them to `gateway`.
-    pub(super) fn new(gateway: Rc<Gateway>, keys: Rc<Keys>) -> Self {
+    pub(super) fn new(gateway: Rc<Gateway>, keys: Rc<StoreKeys>) -> Self {
         Self { gateway, keys }
     }
 
@@ -39,7 +39,7 @@
             StoreUpdate::Changed(WatchEvent::Put(entry)) => std::slice::from_ref(entry),
             StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => {
                 if let Some(database) = self.keys.fenced(key) {
-                    self.gateway.databases.lift_fence(&database);
+                    self.gateway.databases.clear_fence(&database);
                 }
                 return;
             }
@@ -47,7 +47,7 @@
         let fenced = entries.iter().filter_map(|entry| self.keys.fence_of(entry));
         fenced.for_each(|(database, id)| {
             let databases = &self.gateway.databases;
-            databases.put_up_fence(database, id, "the store");
+            databases.set_fence(database, id, "the store");
         });
     }
 
--- a/crates/dyketally-gateway/src/node/stop.rs
+++ b/crates/dyketally-gateway/src/node/stop.rs
@@ -45,7 +45,7 @@
     wait_for_sessions(gateway, transactions_end).await;
     gateway.cx.stop.enter(StopPhase::EndingTransactions);
     wait_for_sessions(gateway, end).await;
-    gateway.tell_counters();
+    gateway.log_counters();
     gateway.cx.events.write(&Event::Traffic {
         sent_bytes: gateway.fleet.traffic.by_node(),
     });
--- a/crates/dyketally-gateway/src/node/updates.rs
+++ b/crates/dyketally-gateway/src/node/updates.rs
@@ -96,7 +96,7 @@
                 let zones = entries
                     .iter()
                     .filter_map(|entry| self.evacuated_zone(&entry.key));
-                self.gateway.databases.evacuations_are(&zones.collect());
+                self.gateway.databases.set_evacuations(&zones.collect());
             }
             StoreUpdate::Changed(WatchEvent::Put(entry)) => {
                 self.apply_configuration(&entry);
@@ -106,7 +106,7 @@
             }
             StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => {
                 if let Some(zone) = self.evacuated_zone(&key) {
-                    self.gateway.databases.evacuation_taken_back(&zone);
+                    self.gateway.databases.evacuation_cancelled(&zone);
                 }
             }
         }
@@ -123,7 +123,7 @@
             return;
         }
         match self.documents.configuration(&entry.value) {
-            Ok(routes) => self.gateway.put_in_force(routes, entry.modified),
+            Ok(routes) => self.gateway.apply_configuration(routes, entry.modified),
             Err(reason) => self.log_refused(&entry.key, &reason),
         }
     }
@@ -135,8 +135,8 @@
             StoreUpdate::All(entries) => {
                 let listed = entries.iter().filter_map(|entry| self.announcement(entry));
                 let listed: Vec<Announcement> = listed.collect();
-                self.gateway.databases.listed_now();
-                self.gateway.databases.starts_are_unknown_but_for(&listed);
+                self.gateway.databases.record_listed();
+                self.gateway.databases.record_unannounced_except(&listed);
                 let replaced = listed.clone();
                 let changes = self
                     .gateway
@@ -146,7 +146,7 @@
                     .replaced(now, replaced);
                 listed
                     .iter()
-                    .for_each(|it| self.gateway.databases.start_announced(it));
+                    .for_each(|it| self.gateway.databases.record_start_announcement(it));
                 changes
             }
             StoreUpdate::Changed(WatchEvent::Put(entry)) => {
@@ -156,7 +156,9 @@
                 let mut directory = self.gateway.databases.directory.borrow_mut();
                 let change = directory.announced(now, announcement.clone());
                 drop(directory);
-                self.gateway.databases.start_announced(&announcement);
+                self.gateway
+                    .databases
+                    .record_start_announcement(&announcement);
                 change.into_iter().collect()
             }
             StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => {
@@ -166,7 +168,7 @@
                         .directory
                         .borrow_mut()
                         .vanished(now, &name);
-                    self.gateway.databases.start_is_unknown(&name);
+                    self.gateway.databases.record_unannounced(&name);
                 }
                 Vec::new()
             }
@@ -174,7 +176,7 @@
         if !changes.is_empty() {
             self.gateway.databases.directory_changed(changes);
         }
-        self.gateway.databases.settle_unlisted_later();
+        self.gateway.databases.remove_unlisted_after_grace();
     }
 
     /// Decodes an announcement; logs the entry as refused if that fails.
--- a/crates/dyketally-gateway/src/quota/permit_requests.rs
+++ b/crates/dyketally-gateway/src/quota/permit_requests.rs
@@ -13,7 +13,7 @@
 
 use super::Quotas;
 use crate::fleet::message::PeerMessage;
-use crate::fleet::passed_over::PassedOver;
+use crate::fleet::passed_over::Exclusions;
 use crate::fleet::peer::Peers;
 
 /// Maximum number of nodes that are asked for a permit: the accountant and its stand-ins. In a network
@@ -38,7 +38,7 @@
 /// Which nodes answered the requests so far.
 #[derive(Default)]
 pub(super) struct PermitRequests {
-    excluded: PassedOver,
+    excluded: Exclusions,
     /// Number of requests that each node has left unanswered since its last answer.
     missed: RefCell<HashMap<SocketAddr, u32>>,
     /// Number of consecutive requests without an answer from any node.
@@ -135,7 +135,7 @@
     (tenant, wanted, role): (&TenantName, u32, Role),
 ) -> Option<Decision> {
     let mut replies = peers.collect_permits();
-    let request = PeerMessage::PermitAsked {
+    let request = PeerMessage::PermitRequest {
         round: replies.round,
         tenant: tenant.clone(),
         wanted,
--- a/crates/dyketally-gateway/src/quota/reachability.rs
+++ b/crates/dyketally-gateway/src/quota/reachability.rs
@@ -62,7 +62,7 @@
                 .choose_multiple(&mut rand::rng(), SAMPLE_SIZE)
                 .collect();
             let mut replies = peers.collect_reach_replies();
-            let request = PeerMessage::ReachAsked {
+            let request = PeerMessage::ReachRequest {
                 round: replies.round,
             };
             for node in &asked {
--- a/crates/dyketally-gateway/src/session/admission.rs
+++ b/crates/dyketally-gateway/src/session/admission.rs
@@ -29,7 +29,7 @@
                 "no route is configured for this database; check its name",
             ));
         };
-        if routes.needs_key(route) && !cx.keys_hold() {
+        if routes.needs_key(route) && !cx.may_trust_keys() {
             cx.counters.keys_uncertain.add();
             return Err(Response::key_uncertain());
         }
@@ -51,6 +51,6 @@
     /// True while an admitted transaction may go on. It keeps the configuration that was current as it began,
     /// but stops while this node can't know whether its API key is still valid.
     pub(super) fn is_valid(&self, cx: &Context) -> bool {
-        self.tenant.is_none() || cx.keys_hold()
+        self.tenant.is_none() || cx.may_trust_keys()
     }
 }
--- a/crates/dyketally-gateway/src/session/caller.rs
+++ b/crates/dyketally-gateway/src/session/caller.rs
@@ -74,7 +74,7 @@
         };
         self.sessions
             .cx
-            .configured_by(Instant::now() + CONFIGURATION_WAIT)
+            .wait_until_configured(Instant::now() + CONFIGURATION_WAIT)
             .await;
         if !self.sessions.cx.is_configured() {
             let response = Response::failed(
--- a/crates/dyketally-gateway/src/settings.rs
+++ b/crates/dyketally-gateway/src/settings.rs
@@ -53,7 +53,7 @@
 #[serde(default)]
 pub struct AccessSettings {
     /// Whether operations run while their key may have been removed without this node having been notified.
-    pub when_out_of_touch: OutOfTouch,
+    pub when_out_of_touch: OutOfContact,
     /// Longest time from a key's removal to the last operation that runs with it, in milliseconds. Applies if
     /// `when_out_of_touch` is `refuse`.
     pub key_bound_ms: u64,
@@ -62,7 +62,7 @@
 /// Whether operations run while their key may have been removed without this node having been notified.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum OutOfTouch {
+pub enum OutOfContact {
     /// Operations run if their key is among the last known keys.
     #[default]
     Serve,
@@ -73,7 +73,7 @@
 impl Default for AccessSettings {
     fn default() -> Self {
         Self {
-            when_out_of_touch: OutOfTouch::Serve,
+            when_out_of_touch: OutOfContact::Serve,
             key_bound_ms: 5_000,
         }
     }
@@ -83,8 +83,8 @@
     /// The policy for operations whose key may have been removed without this node having been notified.
     pub fn key_policy(&self) -> KeyPolicy {
         match self.when_out_of_touch {
-            OutOfTouch::Serve => KeyPolicy::Serve,
-            OutOfTouch::Refuse => KeyPolicy::Refuse {
+            OutOfContact::Serve => KeyPolicy::Serve,
+            OutOfContact::Refuse => KeyPolicy::Refuse {
                 bound: Duration::from_millis(self.key_bound_ms),
             },
         }
--- a/crates/dyketally-gateway/src/statement/attempt.rs
+++ b/crates/dyketally-gateway/src/statement/attempt.rs
@@ -4,8 +4,8 @@
 
 use dyketally::statement::FailureKind;
 
-use crate::database::claim::Work;
-use crate::database::connection::{Answer, Broken};
+use crate::database::claim::ConnectionUse;
+use crate::database::connection::{Answer, BrokenConnection};
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
 use crate::decision::{Operation, learn};
@@ -21,13 +21,13 @@
     /// The statement has not run.
     NotRun(FailureKind),
     /// The statement was sent, and its answer was lost or incomplete.
-    Lost(Broken),
+    Lost(BrokenConnection),
 }
 
 impl AttemptOutcome {
     /// The database ended the batch before it sent all answers.
     pub(super) fn without_all_answers() -> Self {
-        Self::Lost(Broken::new(
+        Self::Lost(BrokenConnection::new(
             "the database ended the batch before it sent all answers",
         ))
     }
@@ -56,7 +56,7 @@
         self: &Rc<Self>,
         request: &Request,
         target: &Target,
-        work: Work,
+        work: ConnectionUse,
     ) -> Result<DatabaseConnection, FailureKind> {
         let checkout = self
             .access
--- a/crates/dyketally-gateway/src/statement/choose.rs
+++ b/crates/dyketally-gateway/src/statement/choose.rs
@@ -66,10 +66,11 @@
             self.cx.counters.reads_bound_to_primaries.add();
         }
         let until = request.latest_start().min(Instant::now() + RETRY_PAUSE);
-        let primary =
-            self.leadership
-                .confirmations
-                .primary_by(&request.route.group, &request.regions, until);
+        let primary = self.leadership.confirmations.wait_for_primary(
+            &request.route.group,
+            &request.regions,
+            until,
+        );
         primary.await.ok().map(ChosenDatabase::leads)
     }
 
@@ -90,7 +91,7 @@
         let check = match choose::next_step(operation, known, best_leads) {
             NextStep::Send(check) => check,
             NextStep::RequestPosition => {
-                let asked = self.leadership.confirmations.ensure_observation(
+                let asked = self.leadership.confirmations.wait_for_observation(
                     group,
                     need.covered,
                     request.latest_start(),
@@ -176,7 +177,7 @@
         let usual_lag = self.databases.replica_lag.get().value(self.cx.now());
         let inputs = RankingInputs {
             primary_penalty_ms: self.cx.settings.reads.primary_penalty_ms,
-            replicas_likely_behind: self.databases.age_of(group, needed) < usual_lag,
+            replicas_likely_behind: self.databases.position_age(group, needed) < usual_lag,
         };
         choose::ranked(candidates.collect(), inputs)
     }
--- a/crates/dyketally-gateway/src/statement/ending.rs
+++ b/crates/dyketally-gateway/src/statement/ending.rs
@@ -8,7 +8,7 @@
 use dyketally::identifiers::DatabaseName;
 use dyketally::statement::FailureKind;
 
-use crate::database::connection::Broken;
+use crate::database::connection::BrokenConnection;
 use crate::database::target::Target;
 use crate::decision::give_up::{self, GiveUpInputs, PrimaryState};
 use crate::decision::learn::Feedback;
@@ -34,7 +34,7 @@
     }
 
     /// The answer was lost, and the statement may have run.
-    pub(super) fn in_doubt(broken: &Broken) -> Self {
+    pub(super) fn in_doubt(broken: &BrokenConnection) -> Self {
         Self {
             response: Response::in_doubt(&broken.reason),
             reason: Reason::AnswerLost,
@@ -65,7 +65,7 @@
         let intent = Intent::first(&request.regions, self.need.is_none());
         statements
             .databases
-            .denied_for_good(&request.route.group, &intent)
+            .lasting_denial(&request.route.group, &intent)
     }
 
     /// Why the statement is given up after an attempt; `None` when it goes on. Records a missing primary, and
@@ -83,7 +83,7 @@
         let after = give_up::after_attempt(operation, attempt, self);
         if after.found_no_primary {
             let group = statements.databases.group(&request.route.group);
-            group.availability.attempt_failed();
+            group.availability.record_failed_attempt();
         }
         if after.give_up == Some(Reason::NothingMayServe)
             && let Some(denial) = self.denial()
@@ -131,24 +131,29 @@
     pub(super) fn apply_feedback(self: &Rc<Self>, target: &Target, feedback: Option<Feedback>) {
         match feedback {
             None => {}
-            Some(Feedback::Follows) => self.leadership.confirmations.refused_as_primary(target),
+            Some(Feedback::Follows) => self
+                .leadership
+                .confirmations
+                .record_refused_as_primary(target),
             Some(Feedback::Behind {
                 needed,
                 updates_lag_estimate,
             }) => {
-                target.state.was_behind(needed);
+                target.state.record_behind(needed);
                 if updates_lag_estimate {
                     self.cx.counters.reads_behind.add();
-                    self.databases.replica_showed(&target.group, needed, false);
+                    self.databases
+                        .record_replica_lag(&target.group, needed, false);
                 }
             }
             Some(Feedback::Holds {
                 needed,
                 updates_lag_estimate,
             }) => {
-                target.state.was_fresh();
+                target.state.record_fresh();
                 if updates_lag_estimate {
-                    self.databases.replica_showed(&target.group, needed, true);
+                    self.databases
+                        .record_replica_lag(&target.group, needed, true);
                 }
             }
         }
--- a/crates/dyketally-gateway/src/statement/read.rs
+++ b/crates/dyketally-gateway/src/statement/read.rs
@@ -13,8 +13,8 @@
 use tokio::time::Instant;
 
 use crate::database::batch::{Batch, Step};
-use crate::database::claim::Work;
-use crate::database::connection::{Answer, Broken, leave_idle};
+use crate::database::claim::ConnectionUse;
+use crate::database::connection::{Answer, BrokenConnection, end_outside_transaction};
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
 use crate::decision::give_up::{self, Time};
@@ -129,7 +129,7 @@
             let last = request.deadline + LATE_ANSWER_LIMIT;
             match tokio::time::timeout_at(last, attempt).await {
                 Ok(attempt) => attempt,
-                Err(_) => AttemptOutcome::Lost(Broken::new(
+                Err(_) => AttemptOutcome::Lost(BrokenConnection::new(
                     "no answer arrived before the deadline or shortly after it",
                 )),
             }
@@ -142,7 +142,10 @@
         choice: &ChosenDatabase,
     ) -> AttemptOutcome {
         let ChosenDatabase { target, check } = choice;
-        let mut checkout = match self.checkout(request, target, Work::Statements).await {
+        let mut checkout = match self
+            .checkout(request, target, ConnectionUse::Statements)
+            .await
+        {
             Ok(checkout) => checkout,
             Err(kind) => return AttemptOutcome::NotRun(kind),
         };
@@ -156,7 +159,7 @@
                 return self.without_answer(Operation::Read, asked, unanswered);
             }
         };
-        if leave_idle(&answers) {
+        if end_outside_transaction(&answers) {
             checkout.give_back();
         }
         let mut answers = answers.into_iter();
@@ -220,13 +223,13 @@
                 dispatch.rejected();
                 AttemptOutcome::NotRun(kind)
             }
-            ReadAfterBegin::Inconclusive => {
-                AttemptOutcome::Lost(Broken::new("the database refused the read's BEGIN"))
-            }
+            ReadAfterBegin::Inconclusive => AttemptOutcome::Lost(BrokenConnection::new(
+                "the database refused the read's BEGIN",
+            )),
             ReadAfterBegin::AnswerIfLeading
-                if !self.leadership.checks.is_upheld(target, sent).await =>
+                if !self.leadership.checks.still_leads_since(target, sent).await =>
             {
-                AttemptOutcome::Lost(Broken::replaced())
+                AttemptOutcome::Lost(BrokenConnection::replaced())
             }
             ReadAfterBegin::AnswerIfLeading => {
                 self.cx.counters.reads_at_primaries.add();
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -19,7 +19,7 @@
 
 use crate::database::batch::{Batch, SessionContext, Step};
 use crate::database::claim::failure_kind;
-use crate::database::claim::{Claim, Work};
+use crate::database::claim::{ConnectionRequest, ConnectionUse};
 use crate::database::connection::Answer;
 use crate::database::target::Target;
 use crate::decision::{Reason, admit, come_back, give_up};
@@ -201,9 +201,9 @@
         }
     }
 
-    /// The claim for a connection for `work`: priority, wait limit and queue timeouts.
-    pub fn claim(&self, work: Work) -> Claim {
-        Claim {
+    /// The request for a connection for `connection_use`: priority, wait limit and queue timeouts.
+    pub fn claim(&self, work: ConnectionUse) -> ConnectionRequest {
+        ConnectionRequest {
             priority: self.route.priority + 1,
             until: self.latest_start(),
             patience: admit::queue_timeouts(self.route.latency_objective),
@@ -251,7 +251,7 @@
         };
         // Permission is requested after all waits, since the zone may be evacuated during them.
         checkout.wait_for_turn(batch).await;
-        let permission = statements.databases.may_send(target, &intent);
+        let permission = statements.databases.permission_to_send(target, &intent);
         let permission =
             permission.map_err(|denial| ExchangeError::NotRun(failure_kind(denial)))?;
         let dispatch = self.dispatches.begin();
--- a/crates/dyketally-gateway/src/statement/transaction/bound.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/bound.rs
@@ -85,7 +85,10 @@
         }
         if bound.leads
             && answer.end.is_ok()
-            && statements.leadership.checks.surely_leads(&bound.target)
+            && statements
+                .leadership
+                .checks
+                .is_certain_leader(&bound.target)
         {
             statements
                 .databases
--- a/crates/dyketally-gateway/src/statement/transaction/commit.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/commit.rs
@@ -6,7 +6,7 @@
 use dyketally::time::Timestamp;
 
 use super::{Transaction, TransactionAnswer};
-use crate::database::connection::{Answer, Broken};
+use crate::database::connection::{Answer, BrokenConnection};
 use crate::decision::Reason;
 use crate::decision::refuse::{self, CommitError, LostCommit};
 use crate::statement::Statements;
@@ -47,7 +47,7 @@
     ) -> TransactionAnswer {
         if self.wrote && answer.end.is_ok() && !self.is_upheld(statements, sent).await {
             self.bound = None;
-            let response = Response::in_doubt(&Broken::replaced().reason);
+            let response = Response::in_doubt(&BrokenConnection::replaced().reason);
             request.record_outcome(statements, &response, Reason::DatabaseReplaced);
             return TransactionAnswer::ended(response, Reason::DatabaseReplaced);
         }
@@ -65,7 +65,7 @@
         match &self.bound {
             Some(bound) if bound.leads => {
                 let checks = &statements.leadership.checks;
-                checks.is_upheld(&bound.target, sent).await
+                checks.still_leads_since(&bound.target, sent).await
             }
             _ => true,
         }
--- a/crates/dyketally-gateway/src/statement/transaction/first.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/first.rs
@@ -13,7 +13,7 @@
 use super::Transaction;
 use super::bound::BoundConnection;
 use crate::database::batch::{Batch, Flow, Step};
-use crate::database::claim::Work;
+use crate::database::claim::ConnectionUse;
 use crate::database::connection::Answer;
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
@@ -96,7 +96,7 @@
         let Some(ChosenDatabase { target, check }) = choosing.await else {
             return AttemptOutcome::NotRun(FailureKind::Busy);
         };
-        let checkout = statements.checkout(request, &target, Work::Transaction);
+        let checkout = statements.checkout(request, &target, ConnectionUse::Transaction);
         let mut checkout = match checkout.await {
             Ok(checkout) => checkout,
             Err(kind) => return AttemptOutcome::NotRun(kind),
@@ -125,7 +125,13 @@
         }
         statements.apply_feedback(&target, learn::from_answer(OPERATION, check, target.leads));
         let leads = check == FreshnessCheck::Leads;
-        if leads && !statements.leadership.checks.is_upheld(&target, sent).await {
+        if leads
+            && !statements
+                .leadership
+                .checks
+                .still_leads_since(&target, sent)
+                .await
+        {
             return AttemptOutcome::NotRun(FailureKind::ReadOnly);
         }
         if leads {
@@ -141,7 +147,7 @@
         let Some(answer) = answers.next() else {
             return AttemptOutcome::without_all_answers();
         };
-        if leads && answer.end.is_ok() && statements.leadership.checks.surely_leads(&target) {
+        if leads && answer.end.is_ok() && statements.leadership.checks.is_certain_leader(&target) {
             statements
                 .databases
                 .observe(&target.group, answer.position, sent);
--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -6,8 +6,8 @@
 use tokio::time::Instant;
 
 use crate::database::batch::Batch;
-use crate::database::claim::Work;
-use crate::database::connection::Broken;
+use crate::database::claim::ConnectionUse;
+use crate::database::connection::BrokenConnection;
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
 use crate::decision::give_up::{self, Time};
@@ -58,13 +58,17 @@
         let primary = self
             .leadership
             .confirmations
-            .primary_by(group, &request.regions, until)
+            .wait_for_primary(group, &request.regions, until)
             .await;
         primary.map_err(|denial| {
             let reason = give_up::no_primary_reason(denial.is_lasting());
             match reason {
                 Reason::NothingMayServe => self.report_unserved(request, denial),
-                _ => self.databases.group(group).availability.attempt_failed(),
+                _ => self
+                    .databases
+                    .group(group)
+                    .availability
+                    .record_failed_attempt(),
             }
             reason
         })
@@ -93,7 +97,10 @@
     }
 
     async fn write_once(self: &Rc<Self>, request: &Request, target: &Target) -> AttemptOutcome {
-        let mut checkout = match self.checkout(request, target, Work::Statements).await {
+        let mut checkout = match self
+            .checkout(request, target, ConnectionUse::Statements)
+            .await
+        {
             Ok(checkout) => checkout,
             Err(kind) => return AttemptOutcome::NotRun(kind),
         };
@@ -115,8 +122,8 @@
             checkout.give_back();
         }
         match &answer.end {
-            Ok(_) if !self.leadership.checks.is_upheld(target, sent).await => {
-                return AttemptOutcome::Lost(Broken::replaced());
+            Ok(_) if !self.leadership.checks.still_leads_since(target, sent).await => {
+                return AttemptOutcome::Lost(BrokenConnection::replaced());
             }
             Ok(_) => self.databases.observe(&target.group, answer.position, sent),
             Err(failure) if failure.kind.not_run() => {
--- a/crates/dyketally-gateway/src/store/feed/contact.rs
+++ b/crates/dyketally-gateway/src/store/feed/contact.rs
@@ -23,7 +23,7 @@
         RelayContact {
             store: contact.store_age(now).filter(|_| is_held),
             majority: contact.majority_age(now).filter(|_| is_held),
-            fenced: self.databases.standing_fences(),
+            fenced: self.databases.active_fences(),
         }
     }
 
@@ -31,7 +31,7 @@
     /// had received by then has also reached this node, so the reported ages count from that time. While this node
     /// is the failover coordinator, only its own calls count as contact.
     pub(super) fn receive_relay_contact(&self, ping_sent: Timestamp, relayed: RelayContact) {
-        self.databases.heard_of_fences(relayed.fenced, "a relay");
+        self.databases.merge_fences(relayed.fenced, "a relay");
         match relayed.store {
             Some(age) if age < STORE_FAILING_AFTER => self.cx.store_health.replied(),
             Some(_) | None => self.cx.store_health.failed(),
--- a/crates/dyketally-gateway/src/store/feed/mod.rs
+++ b/crates/dyketally-gateway/src/store/feed/mod.rs
@@ -75,7 +75,7 @@
     }
 
     /// True while this node gets all its updates from the store itself: it follows no relay and watches all subjects.
-    pub fn is_current(&self) -> bool {
+    pub fn is_watching_store(&self) -> bool {
         !self.has_relay() && self.copies.are_all_watched()
     }
 
--- a/crates/dyketally-gateway/src/store/feed/relays.rs
+++ b/crates/dyketally-gateway/src/store/feed/relays.rs
@@ -92,7 +92,7 @@
             |address: &SocketAddr| *address != own && !self.upstream.excluded.contains(address);
         match self.fleet.membership.is_known() {
             false => {
-                let named = self.fleet.membership.named_relays().into_iter();
+                let named = self.fleet.membership.relays_from_seeds().into_iter();
                 named.filter(usable).collect()
             }
             true if self.may_follow_relays() => {
@@ -164,7 +164,7 @@
 
 /// Requests the relays from the seeds until this node follows one or has the list of nodes.
 pub async fn ask_seeds(feed: Rc<Feed>, peers: Rc<Peers>) {
-    let message = PeerMessage::RelaysAsked {
+    let message = PeerMessage::RelaysRequest {
         zone: feed.cx.settings.node.zone.clone(),
     };
     let seeds = feed.cx.settings.seeds();
--- a/crates/dyketally-gateway/src/store/feed/subscription.rs
+++ b/crates/dyketally-gateway/src/store/feed/subscription.rs
@@ -345,7 +345,7 @@
         // Contact taken over from an earlier relay stays valid: without it the node would be isolated until it has
         // caught up.
         if self.relay_lost_store && !self.context.had_contact_through_relay.get() {
-            feed.cx.contact.disregard_store();
+            feed.cx.contact.discard_store_contact();
         }
     }
 
@@ -356,7 +356,10 @@
         if let (Some(ping_sent), Some(age)) = (ping_sent, age)
             && has_configuration
         {
-            self.context.feed.cx.keys_confirmed_by_relay(ping_sent, age);
+            self.context
+                .feed
+                .cx
+                .record_key_confirmation_by_relay(ping_sent, age);
         }
     }
 
--- a/crates/dyketally-gateway/src/store/feed/upstream.rs
+++ b/crates/dyketally-gateway/src/store/feed/upstream.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-use crate::fleet::passed_over::PassedOver;
+use crate::fleet::passed_over::Exclusions;
 
 /// How long a node that lost its relay searches for another before it reads the store itself: enough time to try
 /// three relays that don't reply.
@@ -28,7 +28,7 @@
     /// Notified when the search for a relay ends without success while the store replies to this node.
     none_found: Notify,
     /// Relays that failed, or whose copies are older than this node's.
-    pub(super) excluded: PassedOver,
+    pub(super) excluded: Exclusions,
 }
 
 impl Default for Upstream {
@@ -40,7 +40,7 @@
             replaces_own_watch: Cell::default(),
             address: Cell::default(),
             none_found: Notify::new(),
-            excluded: PassedOver::default(),
+            excluded: Exclusions::default(),
         }
     }
 }
--- a/crates/dyketally-gateway/src/store/keys.rs
+++ b/crates/dyketally-gateway/src/store/keys.rs
@@ -17,12 +17,12 @@
 
 /// The keys of one node, and the keys that all nodes share.
 #[derive(Clone, Debug)]
-pub struct Keys {
+pub struct StoreKeys {
     prefix: String,
     record: NodeRecord,
 }
 
-impl Keys {
+impl StoreKeys {
     /// The keys of the node that `record` describes, below `prefix`.
     pub fn new(prefix: String, record: NodeRecord) -> Self {
         Self { prefix, record }
@@ -67,7 +67,7 @@
         Some(DatabaseName::from(database))
     }
 
-    /// The operation that puts the round of a fence under `key`, a key made by [`Keys::fence`], for as long as `lease`
+    /// The operation that puts the round of a fence under `key`, a key made by [`StoreKeys::fence`], for as long as `lease`
     /// is held.
     pub fn put_fence(key: Key, id: FenceId, lease: LeaseId) -> Operation {
         Operation::Put(PutRequest {
--- a/crates/dyketally-gateway/src/store/liveness.rs
+++ b/crates/dyketally-gateway/src/store/liveness.rs
@@ -96,7 +96,8 @@
         last_replies.retain(|address, _| monitored.iter().any(|node| node.address == *address));
         for node in monitored {
             last_replies.entry(node.address).or_insert(now);
-            self.peers.send(node.address, &PeerMessage::HeartbeatAsked);
+            self.peers
+                .send(node.address, &PeerMessage::HeartbeatRequest);
         }
     }
 
--- a/crates/dyketally-gateway/src/store/parts.rs
+++ b/crates/dyketally-gateway/src/store/parts.rs
@@ -5,7 +5,7 @@
 use dyketally_store::key_value::KeyValueStore;
 
 use super::feed::Feed;
-use super::keys::Keys;
+use super::keys::StoreKeys;
 use crate::context::Context;
 use crate::fleet::Fleet;
 
@@ -21,5 +21,5 @@
     /// The client of the store.
     pub store: Rc<dyn KeyValueStore>,
     /// This node's keys.
-    pub keys: Rc<Keys>,
+    pub keys: Rc<StoreKeys>,
 }
--- a/crates/dyketally-gateway/src/store/registration.rs
+++ b/crates/dyketally-gateway/src/store/registration.rs
@@ -139,7 +139,7 @@
                     }
                 }
                 () = self.parts.cx.stop.entered(StopPhase::Leaving) => {
-                    self.parts.cx.contact.disregard_store();
+                    self.parts.cx.contact.discard_store_contact();
                     // A failure is ignored: the process is ending, and the lease lapses by itself.
                     let _ = self.parts.store.revoke_lease(lease).await;
                     return;
@@ -169,7 +169,7 @@
         cx.store_health.renew(&*self.parts.store, lease).await?;
         cx.contact.store_replied_to_this_node(sent_at);
         let is_coordinator = self.parts.fleet.coordinator.last_term().is_some();
-        if !is_coordinator && self.parts.feed.is_current() {
+        if !is_coordinator && self.parts.feed.is_watching_store() {
             cx.contact.store_replied(sent_at);
         }
         Ok(())
--- a/crates/dyketally-gateway/src/store/watch/mod.rs
+++ b/crates/dyketally-gateway/src/store/watch/mod.rs
@@ -3,7 +3,7 @@
 //! A [`Watcher`] reads all keys below its prefix, watches them from that revision on, and calls its handler with each
 //! update. While this node follows a relay the watcher is idle: in a large fleet only a few nodes watch the store
 //! themselves, see [`super::feed`]. After a failure it waits until it makes sense to call the store again, see
-//! [`outage`]. Owns only its position in this loop.
+//! `outage`. Owns only its position in this loop.
 
 mod first_read;
 mod outage;
@@ -186,7 +186,7 @@
     /// Records that this node has all changes of the configuration that were made before `as_of`.
     fn confirm(&self, as_of: Timestamp) {
         if self.spec.subject == Subject::Configuration {
-            self.parts.cx.keys_confirmed(as_of);
+            self.parts.cx.record_key_confirmation(as_of);
         }
     }
 
--- a/crates/dyketally-gateway/src/succession/appointment.rs
+++ b/crates/dyketally-gateway/src/succession/appointment.rs
@@ -122,8 +122,8 @@
             *replies.entry(reply).or_default() += 1;
             if reply == Confirmation::Leads {
                 self.fences.clear_all(successor);
-                confirmations.acted_as_primary(&target);
-                self.peers.broadcast(&PeerMessage::Leads {
+                confirmations.record_acted_as_primary(&target);
+                self.peers.broadcast(&PeerMessage::NewLeader {
                     group: group.clone(),
                     database: successor.clone(),
                 });
--- a/crates/dyketally-gateway/src/succession/checks.rs
+++ b/crates/dyketally-gateway/src/succession/checks.rs
@@ -87,14 +87,14 @@
     }
 
     /// True when an answer of `target` counts as a leader's without asking the group's other databases.
-    pub fn surely_leads(&self, target: &Target) -> bool {
-        !self.is_replaced(target) && self.cx.is_in_touch()
+    pub fn is_certain_leader(&self, target: &Target) -> bool {
+        !self.is_replaced(target) && self.cx.is_in_contact()
     }
 
     /// True when the answer of `target` to a request sent at `sent` is a leader's: no other database had
     /// taken the lead before the answer arrived.
-    pub async fn is_upheld(self: &Rc<Self>, target: &Target, sent: Timestamp) -> bool {
-        if self.is_replaced(target) || self.databases.led_anew_since(sent, &target.name) {
+    pub async fn still_leads_since(self: &Rc<Self>, target: &Target, sent: Timestamp) -> bool {
+        if self.is_replaced(target) || self.databases.regained_lead_since(sent, &target.name) {
             return false;
         }
         self.no_other_leads(target).await
@@ -104,13 +104,13 @@
     /// and would have received a fence around `target`, or all other databases answer that they don't lead.
     /// The caller has to check whether such a fence is set.
     pub(super) async fn no_other_leads(self: &Rc<Self>, target: &Target) -> bool {
-        self.cx.is_in_touch() || self.others_deny_lead(target).await
+        self.cx.is_in_contact() || self.others_deny_lead(target).await
     }
 
     /// True while this node is isolated and its last check, made within [`UNCONFIRMED_VALIDITY`], couldn't rule out
     /// that another database of `group` leads.
     pub fn primary_is_unconfirmed(&self, group: &GroupName) -> bool {
-        if self.cx.is_in_touch() {
+        if self.cx.is_in_contact() {
             return false;
         }
         let last = self.group(group).last.get();
--- a/crates/dyketally-gateway/src/succession/confirm.rs
+++ b/crates/dyketally-gateway/src/succession/confirm.rs
@@ -22,7 +22,7 @@
 use crate::context::Context;
 use crate::database::Databases;
 use crate::database::batch::Batch;
-use crate::database::claim::Work;
+use crate::database::claim::ConnectionUse;
 use crate::database::target::Target;
 use crate::fleet::Fleet;
 use crate::ports::OwnStatement;
@@ -111,7 +111,7 @@
 
     /// A log position of the primary that was observed at `covered` or later. Confirms the primary if there is no
     /// such observation yet; `None` if none is made by `until` or within [`CONFIRM_LIMIT`].
-    pub async fn ensure_observation(
+    pub async fn wait_for_observation(
         self: &Rc<Self>,
         group: &GroupName,
         covered: Timestamp,
@@ -214,7 +214,7 @@
         fence: FenceHandling,
         until: Instant,
     ) -> Result<Confirmation, Unclear> {
-        let work = Work::Statements;
+        let work = ConnectionUse::Statements;
         let connection = self.statements.connect(target, until, work).await;
         let mut connection = connection.ok_or(Unclear::NoConnection)?;
         self.cx.counters.confirmations.add();
@@ -256,7 +256,7 @@
             let replies = futures::future::join_all(requests).await;
             for (target, reply) in targets.iter().zip(replies) {
                 if reply == Confirmation::Leads {
-                    confirmations.acted_as_primary(target);
+                    confirmations.record_acted_as_primary(target);
                 }
             }
             tokio::time::sleep(SEARCH_PAUSE).await;
@@ -279,7 +279,7 @@
     ///
     /// # Errors
     /// Why there is no such primary. Returned without waiting if it won't change soon.
-    pub async fn primary_by(
+    pub async fn wait_for_primary(
         self: &Rc<Self>,
         group: &GroupName,
         regions: &ServingRegions,
@@ -300,15 +300,15 @@
     }
 
     /// Records that a database acts as primary, and clears this node's fence around it.
-    pub fn acted_as_primary(&self, target: &Target) {
+    pub fn record_acted_as_primary(&self, target: &Target) {
         let mut directory = self.databases.directory.borrow_mut();
         directory.acted_as_primary(&target.name);
         drop(directory);
-        self.databases.lift_fence(&target.name);
+        self.databases.clear_fence(&target.name);
     }
 
     /// Records that a database refused to act as primary, and wakes waiting statements and the coordinator.
-    pub fn refused_as_primary(&self, target: &Target) {
+    pub fn record_refused_as_primary(&self, target: &Target) {
         let mut directory = self.databases.directory.borrow_mut();
         directory.refused_as_primary(&target.name);
         drop(directory);
--- a/crates/dyketally-gateway/src/succession/contact.rs
+++ b/crates/dyketally-gateway/src/succession/contact.rs
@@ -49,7 +49,7 @@
         let mut last_request = None;
         let mut was_in_contact = false;
         loop {
-            let in_contact = self.cx.is_in_touch();
+            let in_contact = self.cx.is_in_contact();
             if in_contact != std::mem::replace(&mut was_in_contact, in_contact) {
                 self.cx.events.write(match in_contact {
                     true => &Event::InTouch,
@@ -76,9 +76,9 @@
 
     async fn request_signs_of_life(self: Rc<Self>, asked: Timestamp) {
         let own = &self.cx.settings.node.name;
-        let nodes = self.fleet.membership.electorate(own);
+        let nodes = self.fleet.membership.possibly_running(own);
         let mut replies = self.peers.collect_signs_of_life();
-        let message = PeerMessage::SignOfLifeAsked {
+        let message = PeerMessage::SignOfLifeRequest {
             round: replies.round,
         };
         for node in &nodes {
--- a/crates/dyketally-gateway/src/succession/coordinator.rs
+++ b/crates/dyketally-gateway/src/succession/coordinator.rs
@@ -223,7 +223,7 @@
             .cx
             .contact
             .store_replied_to_this_node(requested_at);
-        if self.parts.feed.is_current() {
+        if self.parts.feed.is_watching_store() {
             let contact = &self.parts.cx.contact;
             contact.store_replied(requested_at - CONTACT_REDUCTION);
         }
--- a/crates/dyketally-gateway/src/succession/fence.rs
+++ b/crates/dyketally-gateway/src/succession/fence.rs
@@ -23,7 +23,7 @@
 use crate::event::Event;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::peer::{FenceReply, Peers, Replies};
-use crate::store::keys::Keys;
+use crate::store::keys::StoreKeys;
 use crate::store::parts::StoreParts;
 
 /// Pause before a fence is sent again to nodes that didn't confirm it; a reply from another region takes
@@ -118,7 +118,7 @@
         let Some(id) = self.rounds.borrow_mut().remove(database) else {
             return;
         };
-        self.databases.lift_round(database, id);
+        self.databases.clear_fence_round(database, id);
         self.broadcast_clear(database, id);
     }
 
@@ -129,7 +129,7 @@
         self.withdraw(database);
         let own = self.rounds.borrow_mut().remove(database);
         let local = self.databases.fence_round(database);
-        self.databases.lift_fence(database);
+        self.databases.clear_fence(database);
         let other = local.filter(|local| Some(*local) != own);
         for id in own.into_iter().chain(other) {
             self.broadcast_clear(database, id);
@@ -144,7 +144,7 @@
     }
 
     fn broadcast_clear(&self, database: &DatabaseName, id: FenceId) {
-        let message = PeerMessage::LiftFence {
+        let message = PeerMessage::ClearFence {
             database: database.clone(),
             id,
         };
@@ -152,7 +152,7 @@
         tokio::task::spawn_local(async move {
             for pause in CLEAR_PAUSES {
                 tokio::time::sleep(pause).await;
-                peers.broadcast_to_electorate(&message);
+                peers.broadcast_to_possibly_running(&message);
             }
         });
     }
@@ -193,7 +193,7 @@
         let id = FenceId(rand::random());
         self.rounds.borrow_mut().insert(database.clone(), id);
         let own = &cx.settings.node.name;
-        let others = self.parts.fleet.membership.electorate(own);
+        let others = self.parts.fleet.membership.possibly_running(own);
         let pending: HashSet<SocketAddr> = others.into_iter().collect();
         let mut round = FenceRound::new(cx.now(), pending.len() + 1);
         match self.databases.fence(database, id, suspected) {
@@ -265,7 +265,7 @@
         let mut all = self.published.borrow_mut();
         all.insert(database.clone(), published.clone());
         let key = self.parts.keys.fence(database);
-        let put = Keys::put_fence(key.clone(), id, lease.id);
+        let put = StoreKeys::put_fence(key.clone(), id, lease.id);
         let parts = self.parts.clone();
         let fence = published.clone();
         tokio::task::spawn_local(async move {
--- a/crates/dyketally-gateway/src/succession/grants.rs
+++ b/crates/dyketally-gateway/src/succession/grants.rs
@@ -97,7 +97,7 @@
             round,
             granted_ms: age_ms(granted),
             majority_ms: age_ms(majority),
-            fenced: self.databases.standing_fences(),
+            fenced: self.databases.active_fences(),
         }
     }
 
@@ -127,7 +127,7 @@
             } else {
                 let round = self.pending.borrow_mut().record(now);
                 for target in self.targets() {
-                    peers.send(target, &PeerMessage::ContactAsked { round });
+                    peers.send(target, &PeerMessage::ContactRequest { round });
                 }
             }
             tokio::time::sleep(GRANT_INTERVAL).await;
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -94,7 +94,7 @@
         self.suspicions.report(target);
     }
 
-    fn look_at_primaries(&self) {
+    fn check_primaries(&self) {
         self.fleet.coordinator.attention.notify_one();
     }
 }
--- a/crates/dyketally-gateway/src/succession/own_statements.rs
+++ b/crates/dyketally-gateway/src/succession/own_statements.rs
@@ -11,9 +11,9 @@
 use tokio::time::Instant;
 
 use crate::database::batch::Batch;
-use crate::database::claim::{Claim, Work};
+use crate::database::claim::{ConnectionRequest, ConnectionUse};
 use crate::database::connection::Answer;
-use crate::database::pool::OWN_PRIORITY;
+use crate::database::pool::GATEWAY_PRIORITY;
 use crate::database::target::Target;
 use crate::fleet::access::DatabaseAccess;
 use crate::fleet::connection::DatabaseConnection;
@@ -66,10 +66,10 @@
         &self,
         target: &Target,
         until: Instant,
-        work: Work,
+        work: ConnectionUse,
     ) -> Option<OwnConnection> {
-        let claim = Claim {
-            priority: OWN_PRIORITY,
+        let claim = ConnectionRequest {
+            priority: GATEWAY_PRIORITY,
             until,
             patience: Patience {
                 burst: OWN_QUEUE_TIMEOUT,
@@ -109,7 +109,7 @@
     ) -> Option<DatabaseStatus> {
         let protocol = &self.access.databases.connector.protocol;
         loop {
-            let mut connection = self.connect(target, until, Work::Control).await?;
+            let mut connection = self.connect(target, until, ConnectionUse::Control).await?;
             let batch = Batch::own([statement.clone()]);
             let answers = connection.run(&batch).await?;
             let answer = answers.into_iter().next()?;
--- a/crates/dyketally-gateway/src/succession/replacement.rs
+++ b/crates/dyketally-gateway/src/succession/replacement.rs
@@ -224,7 +224,9 @@
     /// Records and logs that `leading`, found by a survey, leads `group` already.
     pub(super) fn record_leader(&self, group: &GroupName, leading: &Target) {
         self.log_step(group, "found", format!("{leading:?} leads already"));
-        self.leadership.confirmations.acted_as_primary(leading);
+        self.leadership
+            .confirmations
+            .record_acted_as_primary(leading);
     }
 
     /// How many replicas of `group` must have received a commit before it is acknowledged.
--- a/crates/dyketally-gateway/src/succession/suspicion.rs
+++ b/crates/dyketally-gateway/src/succession/suspicion.rs
@@ -96,7 +96,7 @@
             true => Evidence::Answered,
             false => probed,
         };
-        target.state.probed_as(evidence);
+        target.state.record_probe(evidence);
         evidence
     }
 
--- a/crates/dyketally-gateway/tests/decision/give_up.rs
+++ b/crates/dyketally-gateway/tests/decision/give_up.rs
@@ -120,12 +120,12 @@
 #[case::behind_goes_on(FailureKind::ReplicaBehind, late(), None)]
 #[case::wrong_database_goes_on(FailureKind::WrongDatabase, late(), None)]
 #[case::long_queue(FailureKind::QueueTooLong, fine(), Some(Reason::QueueTooLong))]
-#[case::not_served(FailureKind::NotServedHere, fine(), Some(Reason::NotServedThere))]
+#[case::not_served(FailureKind::NotServedHere, fine(), Some(Reason::DatabaseMayNotServe))]
 #[case::cold(FailureKind::DatabaseCold, fine(), Some(Reason::DatabaseCold))]
 #[case::no_connection_early(FailureKind::NoConnection, almost_late(), None)]
-#[case::no_connection_late(FailureKind::NoConnection, late(), Some(Reason::ConnectionsShort))]
+#[case::no_connection_late(FailureKind::NoConnection, late(), Some(Reason::NoFreeConnection))]
 #[case::overloaded_early(FailureKind::Overloaded, almost_late(), None)]
-#[case::overloaded_late(FailureKind::Overloaded, late(), Some(Reason::ConnectionsShort))]
+#[case::overloaded_late(FailureKind::Overloaded, late(), Some(Reason::NoFreeConnection))]
 #[case::no_primary_for_long(FailureKind::Busy, missing(LONG), Some(Reason::PrimaryUnavailable))]
 #[case::no_primary_for_a_while(
     FailureKind::Busy,
--- a/crates/dyketally-gateway/tests/decision/waits.rs
+++ b/crates/dyketally-gateway/tests/decision/waits.rs
@@ -24,7 +24,7 @@
 fn for_a_primary(#[case] missing_ms: u64, #[case] expected_ms: u64, #[case] is_unavailable: bool) {
     let missing_for = Duration::from_millis(missing_ms);
     let expected = Duration::from_millis(expected_ms);
-    assert_eq!(wait::for_primary(missing_for), expected);
+    assert_eq!(wait::primary_wait(missing_for), expected);
     assert_eq!(wait::is_unavailable(missing_for), is_unavailable);
 }
 
@@ -34,7 +34,7 @@
 #[case(1_000, false)]
 fn attempts_of_one_loss(#[case] since_last_ms: u64, #[case] expected: bool) {
     assert_eq!(
-        wait::is_same_loss(Duration::from_millis(since_last_ms)),
+        wait::is_same_outage(Duration::from_millis(since_last_ms)),
         expected
     );
 }
--- a/crates/dyketally-gateway/tests/log_events.rs
+++ b/crates/dyketally-gateway/tests/log_events.rs
@@ -227,10 +227,10 @@
 reasons! {
     Answered,
     NothingMayServe,
-    NotServedThere,
+    DatabaseMayNotServe,
     QueueTooLong,
     DatabaseCold,
-    ConnectionsShort,
+    NoFreeConnection,
     PrimaryUnavailable,
     NoPrimaryInTime,
     TimeUsedUp,
--- a/crates/dyketally-gateway/tests/reach.rs
+++ b/crates/dyketally-gateway/tests/reach.rs
@@ -23,11 +23,11 @@
 ) {
     let availability = PrimaryAvailability::default();
     for _ in 0..attempts {
-        availability.attempt_failed();
+        availability.record_failed_attempt();
         assert!(availability.wait_until(Instant::now() + PAUSE * 9) > Instant::now());
         advance(PAUSE).await;
     }
-    availability.attempt_failed();
+    availability.record_failed_attempt();
     assert_eq!(
         wait::is_unavailable(availability.missing_for()),
         unavailable
@@ -38,7 +38,7 @@
 async fn an_answer_ends_the_unavailability() {
     let availability = PrimaryAvailability::default();
     for _ in 0..9 {
-        availability.attempt_failed();
+        availability.record_failed_attempt();
         advance(PAUSE).await;
     }
     assert!(wait::is_unavailable(availability.missing_for()));
@@ -50,9 +50,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_loss_long_ago_doesnt_shorten_the_next_wait() {
     let availability = PrimaryAvailability::default();
-    availability.attempt_failed();
+    availability.record_failed_attempt();
     advance(PAUSE * 9).await;
-    availability.attempt_failed();
+    availability.record_failed_attempt();
     assert!(!wait::is_unavailable(availability.missing_for()));
     let latest = Instant::now() + PAUSE * 9;
     assert!(availability.wait_until(latest) > Instant::now() + PAUSE * 3);
--- a/crates/dyketally-gateway/tests/settings.rs
+++ b/crates/dyketally-gateway/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use dyketally_gateway::settings::{
-    self, AccessSettings, BoundSettings, ListenSettings, NodeSettings, OutOfTouch, ReadSettings,
+    self, AccessSettings, BoundSettings, ListenSettings, NodeSettings, OutOfContact, ReadSettings,
     ServiceSettings, Settings, SettingsError,
 };
 use rstest::rstest;
@@ -185,8 +185,8 @@
         key_bound_ms,
     } = access;
     let when_out_of_touch = match when_out_of_touch {
-        OutOfTouch::Serve => "serve",
-        OutOfTouch::Refuse => "refuse",
+        OutOfContact::Serve => "serve",
+        OutOfContact::Refuse => "refuse",
     };
     vec![
         format!("access.when_out_of_touch = {when_out_of_touch}"),
--- a/crates/dyketally-gateway/tests/stored_keys.rs
+++ b/crates/dyketally-gateway/tests/stored_keys.rs
@@ -10,7 +10,7 @@
 use dyketally::identifiers::{DatabaseName, Locality, NodeName, RegionName, ZoneName};
 use dyketally::placement::LinkClass;
 use dyketally_gateway::fleet::membership::NodeRecord;
-use dyketally_gateway::store::keys::Keys;
+use dyketally_gateway::store::keys::StoreKeys;
 use dyketally_store::key_value::{Entry, Key, LeaseId, Operation, PutRequest, StoreRevision};
 use rstest::rstest;
 
@@ -36,9 +36,9 @@
     }
 }
 
-fn own_keys() -> Keys {
+fn own_keys() -> StoreKeys {
     let link = LinkClass::of_megabits(300.0);
-    Keys::new(PREFIX.to_owned(), record("10.0.0.7:7401", link))
+    StoreKeys::new(PREFIX.to_owned(), record("10.0.0.7:7401", link))
 }
 
 fn put(operation: Operation) -> PutRequest {
@@ -139,7 +139,11 @@
 #[test]
 fn a_fence_is_put_as_its_round() {
     let key = own_keys().fence(&DatabaseName::from("ledger-1"));
-    let put = put(Keys::put_fence(key.clone(), FenceId(u64::MAX), LeaseId(3)));
+    let put = put(StoreKeys::put_fence(
+        key.clone(),
+        FenceId(u64::MAX),
+        LeaseId(3),
+    ));
     assert_eq!(put.key, key);
     assert_eq!(put.lease, Some(LeaseId(3)));
     assert_eq!(&put.value[..], b"18446744073709551615");
--- a/crates/dyketally-gateway/tests/wire/datagrams.rs
+++ b/crates/dyketally-gateway/tests/wire/datagrams.rs
@@ -22,21 +22,21 @@
     PeerMessage::CoordinatorAnnounced { .. } => "has_duty",
     PeerMessage::Fence { .. } => "fence",
     PeerMessage::FenceReply { .. } => "fence_reply",
-    PeerMessage::LiftFence { .. } => "lift_fence",
-    PeerMessage::SignOfLifeAsked { .. } => "are_you_there",
-    PeerMessage::SignOfLife { .. } => "here",
-    PeerMessage::ContactAsked { .. } => "contact_asked",
+    PeerMessage::ClearFence { .. } => "lift_fence",
+    PeerMessage::SignOfLifeRequest { .. } => "are_you_there",
+    PeerMessage::SignOfLifeReply { .. } => "here",
+    PeerMessage::ContactRequest { .. } => "contact_asked",
     PeerMessage::ContactReply { .. } => "contact_told",
-    PeerMessage::HeartbeatAsked => "heartbeat_asked",
-    PeerMessage::Heartbeat => "heartbeat",
-    PeerMessage::RelaysAsked { .. } => "relays_asked",
-    PeerMessage::Relays { .. } => "relays",
-    PeerMessage::PermitAsked { .. } => "permit_asked",
-    PeerMessage::PermitDecided { .. } => "permit_decided",
-    PeerMessage::ReachAsked { .. } => "reach_asked",
+    PeerMessage::HeartbeatRequest => "heartbeat_asked",
+    PeerMessage::HeartbeatReply => "heartbeat",
+    PeerMessage::RelaysRequest { .. } => "relays_asked",
+    PeerMessage::RelaysReply { .. } => "relays",
+    PeerMessage::PermitRequest { .. } => "permit_asked",
+    PeerMessage::PermitReply { .. } => "permit_decided",
+    PeerMessage::ReachRequest { .. } => "reach_asked",
     PeerMessage::ReachReply { .. } => "reach_reply",
-    PeerMessage::Ends { .. } => "ends",
-    PeerMessage::Leads { .. } => "leads",
+    PeerMessage::NodeStopping { .. } => "ends",
+    PeerMessage::NewLeader { .. } => "leads",
 }
 
 variants! {
@@ -107,7 +107,7 @@
 }
 
 fn permit_asked(role: Role) -> PeerMessage {
-    PeerMessage::PermitAsked {
+    PeerMessage::PermitRequest {
         round: 9,
         tenant: "bikes".into(),
         wanted: 200,
@@ -174,14 +174,14 @@
         ),
         (
             "lift_fence",
-            PeerMessage::LiftFence {
+            PeerMessage::ClearFence {
                 database: database(),
                 id: FenceId(3),
             },
         ),
         (
             "leads",
-            PeerMessage::Leads {
+            PeerMessage::NewLeader {
                 group: "ledger-1".into(),
                 database: database(),
             },
@@ -191,22 +191,22 @@
 
 fn contact_samples() -> Vec<Sample<PeerMessage>> {
     vec![
-        ("are_you_there", PeerMessage::SignOfLifeAsked { round: 8 }),
+        ("are_you_there", PeerMessage::SignOfLifeRequest { round: 8 }),
         (
             "here/no fences",
-            PeerMessage::SignOfLife {
+            PeerMessage::SignOfLifeReply {
                 round: 8,
                 fenced: Vec::new(),
             },
         ),
         (
             "here/two fences",
-            PeerMessage::SignOfLife {
+            PeerMessage::SignOfLifeReply {
                 round: 8,
                 fenced: fences(),
             },
         ),
-        ("contact_asked", PeerMessage::ContactAsked { round: 200 }),
+        ("contact_asked", PeerMessage::ContactRequest { round: 200 }),
         (
             "contact_told/none",
             PeerMessage::ContactReply {
@@ -225,8 +225,8 @@
                 fenced: fences(),
             },
         ),
-        ("heartbeat_asked", PeerMessage::HeartbeatAsked),
-        ("heartbeat", PeerMessage::Heartbeat),
+        ("heartbeat_asked", PeerMessage::HeartbeatRequest),
+        ("heartbeat", PeerMessage::HeartbeatReply),
     ]
 }
 
@@ -234,13 +234,13 @@
     vec![
         (
             "relays_asked",
-            PeerMessage::RelaysAsked {
+            PeerMessage::RelaysRequest {
                 zone: "de-rosenheim".into(),
             },
         ),
         (
             "relays",
-            PeerMessage::Relays {
+            PeerMessage::RelaysReply {
                 relays: vec![address(), address_v6()],
             },
         ),
@@ -248,7 +248,7 @@
         ("permit_asked/stand-in", permit_asked(Role::StandIn)),
         (
             "permit_decided/granted",
-            PeerMessage::PermitDecided {
+            PeerMessage::PermitReply {
                 round: 9,
                 decision: Decision::Granted {
                     operations: 200,
@@ -259,18 +259,18 @@
         ),
         (
             "permit_decided/refused",
-            PeerMessage::PermitDecided {
+            PeerMessage::PermitReply {
                 round: 9,
                 decision: Decision::Refused {
                     retry_after: Duration::from_millis(2_500),
                 },
             },
         ),
-        ("reach_asked", PeerMessage::ReachAsked { round: 10 }),
+        ("reach_asked", PeerMessage::ReachRequest { round: 10 }),
         ("reach_reply", PeerMessage::ReachReply { round: 10 }),
         (
             "ends",
-            PeerMessage::Ends {
+            PeerMessage::NodeStopping {
                 node: NodeName::new("node-17"),
             },
         ),
@@ -310,12 +310,12 @@
     });
     check_complete(evidence::ALL, evidence);
     let roles = samples.iter().filter_map(|(_, message)| match message {
-        PeerMessage::PermitAsked { role, .. } => Some(roles::name(role)),
+        PeerMessage::PermitRequest { role, .. } => Some(roles::name(role)),
         _ => None,
     });
     check_complete(roles::ALL, roles);
     let decisions = samples.iter().filter_map(|(_, message)| match message {
-        PeerMessage::PermitDecided { decision, .. } => Some(decisions::name(decision)),
+        PeerMessage::PermitReply { decision, .. } => Some(decisions::name(decision)),
         _ => None,
     });
     check_complete(decisions::ALL, decisions);
--- a/crates/dyketally-gateway/tests/wire/links.rs
+++ b/crates/dyketally-gateway/tests/wire/links.rs
@@ -8,7 +8,7 @@
 use dyketally::policy::Access;
 use dyketally::statement::{Failure, FailureKind, PreparedStatement, TransactionState};
 use dyketally_gateway::database::batch::{Batch, Flow, Reset, SessionContext, Step};
-use dyketally_gateway::database::claim::{Refusal, Work};
+use dyketally_gateway::database::claim::{ConnectionUse, Refusal};
 use dyketally_gateway::database::connection::Answer;
 use dyketally_gateway::fleet::link::{Call, CallReply, frames};
 use dyketally_gateway::ports::{DatabaseUser, OwnStatement};
@@ -23,10 +23,10 @@
 const REPLIES: &str = include_str!("call_replies.txt");
 
 variants! {
-    works, Work,
-    Work::Control => "control",
-    Work::Statements => "statements",
-    Work::Transaction => "transaction",
+    works, ConnectionUse,
+    ConnectionUse::Control => "control",
+    ConnectionUse::Statements => "statements",
+    ConnectionUse::Transaction => "transaction",
 }
 
 variants! {
@@ -142,7 +142,7 @@
         wait_limit_ms: 1_500,
         burst_ms: 250,
         standing_ms: 40,
-        work: Work::Statements,
+        work: ConnectionUse::Statements,
         user: None,
         batch: Cow::Owned(batch),
     }
@@ -150,7 +150,7 @@
 
 fn own(statement: OwnStatement) -> Call<'static> {
     Call {
-        work: Work::Control,
+        work: ConnectionUse::Control,
         ..call(Batch::own([statement]))
     }
 }
@@ -192,7 +192,7 @@
             "execute/read",
             Call {
                 user: tenant.clone(),
-                work: Work::Transaction,
+                work: ConnectionUse::Transaction,
                 ..call(Batch {
                     context: Some(context(Some(prepared(Access::Read)))),
                     steps: execute_steps(),
