--- a/crates/dyketally-gateway/src/context/stop.rs
+++ b/crates/dyketally-gateway/src/context/stop.rs
@@ -41,7 +41,7 @@
     }
 
     /// Waits until `phase` of the planned stop, or a later one, has begun.
-    pub async fn entered(&self, phase: StopPhase) {
+    pub async fn wait_for_phase(&self, phase: StopPhase) {
         let mut current = self.phase.subscribe();
         // The wait can't fail: the sender exists as long as the process.
         let _ = current.wait_for(|current| *current >= phase).await;
--- a/crates/dyketally-gateway/src/context/store_health.rs
+++ b/crates/dyketally-gateway/src/context/store_health.rs
@@ -20,7 +20,7 @@
     pub regained: Notify,
     /// Notified when another node polls this one on a primary. Its vote also says whether the store is lost, so
     /// its lease is then renewed early.
-    pub check: Notify,
+    pub check_requested: Notify,
     /// When the store replied last.
     replied: Cell<Option<Instant>>,
     /// True when the last recorded call failed.
@@ -30,7 +30,7 @@
 impl StoreHealth {
     /// Records that the store replied. The first reply after a failure wakes all tasks that wait for the store:
     /// a watch that was lost during the outage reports nothing by itself.
-    pub fn replied(&self) {
+    pub fn record_reply(&self) {
         self.replied.set(Some(Instant::now()));
         if self.failing.replace(false) {
             self.regained.notify_waiters();
@@ -38,7 +38,7 @@
     }
 
     /// Records that the store didn't reply to a call.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         self.failing.set(true);
     }
 
@@ -64,10 +64,10 @@
     ) -> Result<Duration, StoreError> {
         let renewed = store.keep_lease_alive(lease).await;
         match &renewed {
-            Ok(_) => self.replied(),
+            Ok(_) => self.record_reply(),
             // Not recorded: the store replied, but only the next call shows whether it works again.
             Err(StoreError::LeaseLapsed { .. }) => {}
-            Err(_) => self.failed(),
+            Err(_) => self.record_failure(),
         }
         renewed
     }
--- a/crates/dyketally-gateway/src/database/availability.rs
+++ b/crates/dyketally-gateway/src/database/availability.rs
@@ -37,7 +37,7 @@
     }
 
     /// Records that the primary answered.
-    pub fn answered(&self) {
+    pub fn record_answer(&self) {
         self.loss.set(None);
     }
 
--- a/crates/dyketally-gateway/src/database/batch.rs
+++ b/crates/dyketally-gateway/src/database/batch.rs
@@ -126,7 +126,7 @@
     }
 
     /// A batch of the gateway's own statements, which don't depend on session state.
-    pub fn own(statements: impl IntoIterator<Item = OwnStatement>) -> Self {
+    pub fn of_gateway(statements: impl IntoIterator<Item = OwnStatement>) -> Self {
         Self {
             context: None,
             steps: statements.into_iter().map(Step::Own).collect(),
@@ -145,7 +145,7 @@
     }
 
     /// A batch of a session's steps, run with the session's state.
-    pub fn of(context: SessionContext, steps: Vec<Step>) -> Self {
+    pub fn for_session(context: SessionContext, steps: Vec<Step>) -> Self {
         Self {
             context: Some(context),
             steps,
--- a/crates/dyketally-gateway/src/database/checkout.rs
+++ b/crates/dyketally-gateway/src/database/checkout.rs
@@ -5,8 +5,8 @@
 use dyketally::statement::FailureKind;
 
 use super::Databases;
-use super::claim::{ConnectionRequest, Refusal, failure_kind};
 use super::connection::OpenError;
+use super::connection_request::{ConnectionRequest, Refusal, failure_kind};
 use super::pool::{Checkout, CheckoutError};
 use super::target::Target;
 
@@ -19,10 +19,10 @@
         &self,
         target: &Target,
         values: &BTreeMap<String, String>,
-        claim: ConnectionRequest,
+        request: ConnectionRequest,
     ) -> Result<Checkout, Refusal> {
         let pool = &target.state.pool;
-        let checkout = pool.checkout(values, claim);
+        let checkout = pool.checkout(values, request);
         checkout.await.map_err(|error| self.refusal(target, &error))
     }
 
@@ -42,14 +42,14 @@
             }
         };
         if unreachable {
-            self.unreachable(target);
+            self.record_unreachable(target);
         }
         Refusal { kind, unreachable }
     }
 
     /// Records that `target` can't be reached, and starts a probe if it is a primary.
-    pub fn unreachable(&self, target: &Target) {
-        target.state.failed();
+    pub fn record_unreachable(&self, target: &Target) {
+        target.state.record_failure();
         self.suspect(target);
     }
 
@@ -63,7 +63,7 @@
     /// Reports `target` as lost if it is a primary.
     pub fn report_lost(&self, target: &Target) {
         if let Some(watch) = self.primary_watch().filter(|_| self.is_primary(target)) {
-            watch.report(target);
+            watch.report_lost(target);
         }
     }
 }
--- a/crates/dyketally-gateway/src/database/connection/error.rs
+++ b/crates/dyketally-gateway/src/database/connection/error.rs
@@ -45,7 +45,7 @@
     }
 
     /// The error for an answer that is invalid because its database was replaced as primary before it arrived.
-    pub fn replaced() -> Self {
+    pub fn primary_replaced() -> Self {
         Self::new("another database became primary before the answer arrived")
     }
 }
--- a/crates/dyketally-gateway/src/database/claim.rs
+++ b/crates/dyketally-gateway/src/database/connection_request.rs
@@ -14,11 +14,11 @@
     /// Priority in the queue; lower numbers go first.
     pub priority: u32,
     /// Deadline for the connection, including the time to open one.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Limits of the wait in the queue.
-    pub patience: Patience,
+    pub queue_timeout: Patience,
     /// Purpose of the connection.
-    pub work: ConnectionUse,
+    pub connection_use: ConnectionUse,
     /// The user for whom the connection must be open; `None` if any user's connection will do, as for the
     /// gateway's own statements.
     pub user: Option<DatabaseUser>,
--- a/crates/dyketally-gateway/src/database/directory_changes.rs
+++ b/crates/dyketally-gateway/src/database/directory_changes.rs
@@ -110,7 +110,7 @@
     }
 
     /// Forgets databases that have been gone for `GONE_RETENTION`, and closes connections idle past their limit.
-    pub fn tidy(&self) {
+    pub fn forget_gone_and_close_idle(&self) {
         let long_ago = self.cx.now() - GONE_RETENTION;
         let forgotten = self.directory.borrow_mut().forget_gone_before(long_ago);
         if !forgotten.is_empty() {
--- a/crates/dyketally-gateway/src/database/eligibility.rs
+++ b/crates/dyketally-gateway/src/database/eligibility.rs
@@ -21,7 +21,7 @@
     ) -> Result<Permission, Denial> {
         let directory = self.directory.borrow();
         let result = match directory.member(&target.name) {
-            Some(member) => self.judge(member, intent),
+            Some(member) => self.check_eligibility(member, intent),
             None => Err(Denial::Leaving),
         };
         result.inspect_err(|denial| self.cx.counters.denied.add(denial.kind(), 1))
@@ -31,7 +31,11 @@
     ///
     /// # Errors
     /// The reason why it may not be sent.
-    pub fn judge(&self, member: &Member, intent: &Intent) -> Result<Permission, Denial> {
+    pub fn check_eligibility(
+        &self,
+        member: &Member,
+        intent: &Intent,
+    ) -> Result<Permission, Denial> {
         let now = self.cx.now();
         let announcement = &member.announcement;
         let region = self.region_of_zone(&announcement.zone);
@@ -63,7 +67,7 @@
         let directory = self.directory.borrow();
         let mut lasting = None;
         for member in directory.members(group) {
-            match self.judge(member, intent) {
+            match self.check_eligibility(member, intent) {
                 Err(denial) if denial.is_lasting() => lasting = Some(denial),
                 Err(Denial::Evacuated | Denial::Leaving) if !self.may_serve(member) => {}
                 Ok(_) | Err(_) => return None,
--- a/crates/dyketally-gateway/src/database/fences.rs
+++ b/crates/dyketally-gateway/src/database/fences.rs
@@ -15,7 +15,12 @@
     /// Sets a fence of round `id` around `database`, which came under suspicion `suspected` ago. Returns false,
     /// without a fence, if the database has answered this node since then and so shouldn't be replaced, or if
     /// the round is over.
-    pub fn fence(&self, database: &DatabaseName, id: FenceId, suspected: Duration) -> bool {
+    pub fn set_fence_unless_answered(
+        &self,
+        database: &DatabaseName,
+        id: FenceId,
+        suspected: Duration,
+    ) -> bool {
         !self.has_answered_within(database, suspected)
             && self.set_fence(database.clone(), id, "a node")
     }
--- a/crates/dyketally-gateway/src/database/group.rs
+++ b/crates/dyketally-gateway/src/database/group.rs
@@ -58,12 +58,17 @@
 
     /// Records the log position with which the primary of `group` answered a statement sent at `sent`. Call it
     /// only when that database certainly led the group.
-    pub fn observe(&self, group: &GroupName, position: Option<LogPosition>, sent: Timestamp) {
+    pub fn record_primary_position(
+        &self,
+        group: &GroupName,
+        position: Option<LogPosition>,
+        sent: Timestamp,
+    ) {
         let Some(position) = position else {
             return;
         };
         let group = self.group(group);
-        group.availability.answered();
+        group.availability.record_answer();
         let observation = Observation { position, sent };
         group
             .observations
--- a/crates/dyketally-gateway/src/database/health.rs
+++ b/crates/dyketally-gateway/src/database/health.rs
@@ -35,7 +35,7 @@
     /// Statements sent to the database and not yet answered.
     pub in_flight: Cell<u32>,
     /// True while a probe of the database runs.
-    pub probed: Cell<bool>,
+    pub probe_running: Cell<bool>,
     latency_ms: Cell<f64>,
     sampled_at: Cell<Instant>,
     answered_at: Cell<Option<Instant>>,
@@ -65,7 +65,7 @@
         Rc::new(Self {
             pool,
             in_flight: Cell::new(0),
-            probed: Cell::new(false),
+            probe_running: Cell::new(false),
             latency_ms: Cell::new(expected_ms),
             sampled_at: Cell::new(Instant::now()),
             answered_at: Cell::new(None),
@@ -76,7 +76,7 @@
     }
 
     /// Records that a statement was answered after `elapsed`.
-    pub fn answered(&self, elapsed: Duration) {
+    pub fn record_answer(&self, elapsed: Duration) {
         let sample = elapsed.as_secs_f64() * 1_000.0;
         let average = self.latency_ms.get();
         self.latency_ms
@@ -87,7 +87,7 @@
     }
 
     /// Records that the database could not be reached or that a connection to it broke.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         self.failed_at.set(Some(Instant::now()));
     }
 
--- a/crates/dyketally-gateway/src/database/mod.rs
+++ b/crates/dyketally-gateway/src/database/mod.rs
@@ -11,8 +11,8 @@
 pub mod availability;
 pub mod batch;
 mod checkout;
-pub mod claim;
 pub mod connection;
+pub mod connection_request;
 mod directory_changes;
 mod eligibility;
 mod evacuation;
--- a/crates/dyketally-gateway/src/database/pacer.rs
+++ b/crates/dyketally-gateway/src/database/pacer.rs
@@ -113,7 +113,7 @@
     }
 
     /// Records that the database answered another node.
-    pub fn ran(&self) {
+    pub fn answered_another_node(&self) {
         self.throttle.borrow_mut().warmth().ran(self.now());
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Fraction of its usual reads that the database should get, from 0 to 1.
-    pub fn share(&self) -> f64 {
+    pub fn read_share(&self) -> f64 {
         self.throttle.borrow().share(self.now())
     }
 
--- a/crates/dyketally-gateway/src/database/pool/checkout.rs
+++ b/crates/dyketally-gateway/src/database/pool/checkout.rs
@@ -85,7 +85,9 @@
         let answers = answers.inspect_err(|_| self.pool.pacer.record_possible_restart())?;
         self.pool.pacer.answered(opened);
         self.guards.running = None;
-        self.pool.measures.spent(Stage::Database, began.elapsed());
+        self.pool
+            .measures
+            .record_stage(Stage::Database, began.elapsed());
         self.pool.record_answers(&answers, began.elapsed());
         Ok(answers)
     }
--- a/crates/dyketally-gateway/src/database/pool/guards.rs
+++ b/crates/dyketally-gateway/src/database/pool/guards.rs
@@ -6,7 +6,7 @@
 use dyketally::admission::Rank;
 
 use super::Pool;
-use crate::database::claim::{ConnectionRequest, ConnectionUse};
+use crate::database::connection_request::{ConnectionRequest, ConnectionUse};
 use crate::database::pacer::BatchReservation;
 
 /// Counts a connection as open while it is being opened; dropped without [`OpenSlot::keep`], it undoes the count.
@@ -41,8 +41,8 @@
 }
 
 impl Pinned {
-    pub(super) fn take(pool: &Rc<Pool>, work: ConnectionUse) -> Option<Self> {
-        if work != ConnectionUse::Transaction {
+    pub(super) fn take(pool: &Rc<Pool>, connection_use: ConnectionUse) -> Option<Self> {
+        if connection_use != ConnectionUse::Transaction {
             return None;
         }
         pool.pinned.set(pool.pinned.get() + 1);
@@ -86,11 +86,11 @@
 }
 
 impl Guards {
-    pub(super) fn take(pool: &Rc<Pool>, claim: &ConnectionRequest) -> Self {
+    pub(super) fn take(pool: &Rc<Pool>, request: &ConnectionRequest) -> Self {
         Self {
-            pinned: Pinned::take(pool, claim.work),
+            pinned: Pinned::take(pool, request.connection_use),
             running: Some(Running::begin(pool)),
-            reserved: match claim.work {
+            reserved: match request.connection_use {
                 ConnectionUse::Control => None,
                 ConnectionUse::Statements | ConnectionUse::Transaction => pool.pacer.reserve(),
             },
--- a/crates/dyketally-gateway/src/database/pool/mod.rs
+++ b/crates/dyketally-gateway/src/database/pool/mod.rs
@@ -26,8 +26,8 @@
 use dyketally::time::Timestamp;
 use tokio::time::Instant;
 
-use crate::database::claim::{ConnectionRequest, ConnectionUse};
 use crate::database::connection::{Answer, Connection, Connector, OpenError};
+use crate::database::connection_request::{ConnectionRequest, ConnectionUse};
 use crate::database::pacer::Pacer;
 use crate::measures::{Acquired, Measures, Stage};
 use crate::ports::DatabaseUser;
@@ -48,7 +48,7 @@
 const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of requests as which opening a connection counts against a cold database's rate: it costs the database
 /// about as much as one request.
-const REQUESTS_PER_OPENING: u32 = 1;
+const OPENING_REQUESTS: u32 = 1;
 
 /// Why no connection was checked out.
 #[derive(Clone, Debug, thiserror::Error)]
@@ -161,46 +161,54 @@
     pub async fn checkout(
         self: &Rc<Self>,
         values: &BTreeMap<String, String>,
-        claim: ConnectionRequest,
+        request: ConnectionRequest,
     ) -> Result<Checkout, CheckoutError> {
         let began = Instant::now();
         loop {
-            if self.admits(claim.priority, WaitFor::Connection(claim.work)) {
-                if let Some(connection) = self.take_idle(claim.user.as_ref(), values) {
-                    self.measures.spent(Stage::Queue, began.elapsed());
+            if self.admits(
+                request.priority,
+                WaitFor::Connection(request.connection_use),
+            ) {
+                if let Some(connection) = self.take_idle(request.user.as_ref(), values) {
+                    self.measures.record_stage(Stage::Queue, began.elapsed());
                     self.record_acquired(Acquired::Idle);
-                    let guards = Guards::take(self, &claim);
+                    let guards = Guards::take(self, &request);
                     return Ok(Checkout::new(self.clone(), connection, guards));
                 }
                 if let Some(how) = self.make_room() {
-                    self.measures.spent(Stage::Queue, began.elapsed());
+                    self.measures.record_stage(Stage::Queue, began.elapsed());
                     self.record_acquired(how);
-                    let guards = Guards::take(self, &claim);
-                    let user = claim.user.unwrap_or(DatabaseUser::Gateway);
-                    let requests = match claim.work {
+                    let guards = Guards::take(self, &request);
+                    let user = request.user.unwrap_or(DatabaseUser::Gateway);
+                    let requests = match request.connection_use {
                         ConnectionUse::Control => 0,
-                        ConnectionUse::Statements | ConnectionUse::Transaction => {
-                            REQUESTS_PER_OPENING
-                        }
+                        ConnectionUse::Statements | ConnectionUse::Transaction => OPENING_REQUESTS,
                     };
                     self.pacer.wait_to_send(requests).await?;
-                    return self.open_one(user, claim.until, guards).await;
+                    return self.open_one(user, request.deadline, guards).await;
                 }
             }
             // A cold database's rate makes the wait predictable, so its queue may be longer; requests of higher
             // priority overtake others in it.
             let queue_timeout = match self.pacer.is_cold() {
-                true => claim.patience.burst,
-                false => self.gate.borrow().patience(self.now(), claim.patience),
+                true => request.queue_timeout.burst,
+                false => self
+                    .gate
+                    .borrow()
+                    .patience(self.now(), request.queue_timeout),
             };
-            let expected = self.gate.borrow().expected_wait(claim.priority);
+            let expected = self.gate.borrow().expected_wait(request.priority);
             if expected.is_some_and(|expected| expected > queue_timeout) {
                 return Err(CheckoutError::QueueTooLong);
             }
-            self.check_cold_wait(claim.priority, queue_timeout)?;
-            let until = claim.until.min(Instant::now() + queue_timeout);
-            self.wait(claim.priority, WaitFor::Connection(claim.work), until)
-                .await?;
+            self.check_cold_wait(request.priority, queue_timeout)?;
+            let until = request.deadline.min(Instant::now() + queue_timeout);
+            self.wait(
+                request.priority,
+                WaitFor::Connection(request.connection_use),
+                until,
+            )
+            .await?;
         }
     }
 
--- a/crates/dyketally-gateway/src/database/pool/opening.rs
+++ b/crates/dyketally-gateway/src/database/pool/opening.rs
@@ -37,7 +37,8 @@
         match connection.await {
             Ok(connection) => {
                 slot.keep();
-                self.measures.spent(Stage::Connection, began.elapsed());
+                self.measures
+                    .record_stage(Stage::Connection, began.elapsed());
                 Ok(Checkout::new(self.clone(), connection, guards))
             }
             Err(error) => {
--- a/crates/dyketally-gateway/src/database/pool/waiting.rs
+++ b/crates/dyketally-gateway/src/database/pool/waiting.rs
@@ -7,7 +7,7 @@
 
 use super::guards::Waiting;
 use super::{CheckoutError, GATEWAY_PRIORITY, Pool};
-use crate::database::claim::ConnectionUse;
+use crate::database::connection_request::ConnectionUse;
 
 /// What a queued request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,13 +35,13 @@
             // Control requests are few, and the gateway depends on their answers.
             WaitFor::Connection(ConnectionUse::Control) => true,
             WaitFor::Connection(_) if priority == GATEWAY_PRIORITY => self.pacer.admits(),
-            WaitFor::Connection(work) => may_run && self.admits_use(work) && self.pacer.admits(),
+            WaitFor::Connection(usage) => may_run && self.admits_use(usage) && self.pacer.admits(),
             WaitFor::Continuation => may_run,
         }
     }
 
-    fn admits_use(&self, work: ConnectionUse) -> bool {
-        work != ConnectionUse::Transaction || self.pinned.get() < self.size.transaction_limit()
+    fn admits_use(&self, usage: ConnectionUse) -> bool {
+        usage != ConnectionUse::Transaction || self.pinned.get() < self.size.transaction_limit()
     }
 
     /// Queues a request until it is woken; [`CheckoutError::Exhausted`] if that doesn't happen by `until`.
--- a/crates/dyketally-gateway/src/database/primary.rs
+++ b/crates/dyketally-gateway/src/database/primary.rs
@@ -19,7 +19,7 @@
     fn suspect(self: Rc<Self>, target: &Target);
 
     /// Reports that the primary `target` is probably lost, without probing it.
-    fn report(&self, target: &Target);
+    fn report_lost(&self, target: &Target);
 
     /// Checks whether a primary has to be replaced, after databases or evacuations changed.
     fn check_primaries(&self);
@@ -50,7 +50,7 @@
             return Err(self.missing_primary_denial(group));
         };
         // This permission is dropped: each send obtains its own.
-        self.judge(primary, &Intent::first(regions, true))
+        self.check_eligibility(primary, &Intent::first(regions, true))
             .map(drop)?;
         let watch = self.primary_watch();
         match watch.is_some_and(|watch| watch.primary_is_unconfirmed(group)) {
--- a/crates/dyketally-gateway/src/database/shares.rs
+++ b/crates/dyketally-gateway/src/database/shares.rs
@@ -16,20 +16,20 @@
     fn is_home(&self, database: &DatabaseName) -> bool;
 
     /// Number of nodes among which a database's slots are divided.
-    fn sharers(&self, database: &DatabaseName) -> usize;
+    fn slot_sharers(&self, database: &DatabaseName) -> usize;
 
     /// True when this node may send to a database while it is cold. False until the other nodes are known:
     /// until then this node would count itself as the only one.
     fn may_send_cold(&self, database: &DatabaseName) -> bool;
 
     /// Discards the computed shares after nodes or limits changed.
-    fn forget(&self);
+    fn invalidate(&self);
 }
 
 impl Databases {
     /// Recomputes the shares after nodes or limits changed, and applies them to each pool and each pacer.
     pub fn apply_shares(&self) {
-        self.shares.forget();
+        self.shares.invalidate();
         for (name, database) in self.states.borrow().iter() {
             let pool = &database.pool;
             let limit = self.shares.connection_limit(name);
@@ -55,7 +55,7 @@
     pub(super) fn share_slots(&self, name: &DatabaseName, pool: &Pool) {
         let directory = self.directory.borrow();
         if let Some(member) = directory.member(name) {
-            pool.set_slots(member.announcement.slots, self.shares.sharers(name));
+            pool.set_slots(member.announcement.slots, self.shares.slot_sharers(name));
         }
     }
 }
--- a/crates/dyketally-gateway/src/fleet/access.rs
+++ b/crates/dyketally-gateway/src/fleet/access.rs
@@ -14,8 +14,8 @@
 
 use crate::database::Databases;
 use crate::database::batch::Batch;
-use crate::database::claim::{ConnectionRequest, ConnectionUse};
 use crate::database::connection::{Answer, BrokenConnection};
+use crate::database::connection_request::{ConnectionRequest, ConnectionUse};
 use crate::database::health::InFlight;
 use crate::database::pacer::SEND_WAIT_LIMIT;
 use crate::database::target::Target;
@@ -67,15 +67,15 @@
         self: &Rc<Self>,
         target: &Target,
         values: &BTreeMap<String, String>,
-        claim: ConnectionRequest,
+        request: ConnectionRequest,
     ) -> Result<DatabaseConnection, FailureKind> {
-        match self.path_to(&target.name, &claim) {
+        match self.path_to(&target.name, &request) {
             ConnectionPath::ViaHomes(homes) => {
-                let call = HomeCall::new(self.clone(), target.name.clone(), homes, claim);
+                let call = HomeCall::new(self.clone(), target.name.clone(), homes, request);
                 Ok(DatabaseConnection::Remote(call))
             }
             ConnectionPath::Own => {
-                let checkout = self.databases.checkout(target, values, claim);
+                let checkout = self.databases.checkout(target, values, request);
                 Ok(DatabaseConnection::Own(
                     checkout.await.map_err(|refusal| refusal.kind)?,
                 ))
@@ -86,20 +86,22 @@
     /// The path by which this node reaches a database for `request`. If no home is usable in the request's
     /// regions, this node uses a connection of its own. Statements reach a cold database only through the
     /// nodes that send to it while it is cold.
-    fn path_to(&self, database: &DatabaseName, claim: &ConnectionRequest) -> ConnectionPath {
+    fn path_to(&self, database: &DatabaseName, request: &ConnectionRequest) -> ConnectionPath {
         let Some(placement) = self.fleet.placement_of(database) else {
             return ConnectionPath::Own;
         };
-        if claim.work != ConnectionUse::Control && self.databases.pacer(database).is_cold() {
+        if request.connection_use != ConnectionUse::Control
+            && self.databases.pacer(database).is_cold()
+        {
             return match placement.may_send_cold {
                 true => ConnectionPath::Own,
-                false => ConnectionPath::ViaHomes(placement.ordered_cold_senders(&claim.regions)),
+                false => ConnectionPath::ViaHomes(placement.ordered_cold_senders(&request.regions)),
             };
         }
         if placement.is_home {
             return ConnectionPath::Own;
         }
-        let homes = placement.ordered_homes(claim.user.as_ref(), &claim.regions);
+        let homes = placement.ordered_homes(request.user.as_ref(), &request.regions);
         let usable = |home: &SocketAddr| !self.fleet.homes.passed_over.contains(home);
         match homes.iter().any(usable) {
             true => ConnectionPath::ViaHomes(homes),
@@ -142,7 +144,7 @@
         };
         match result {
             Ok(answers) => {
-                target.state.answered(started.elapsed());
+                target.state.record_answer(started.elapsed());
                 Ok(answers)
             }
             Err(error) => Err(self.exchange_error(target, is_own, error)),
@@ -152,17 +154,17 @@
     fn exchange_error(&self, target: &Target, is_own: bool, error: CallError) -> ExchangeError {
         match error {
             CallError::DatabaseBroke(broken) if is_own => {
-                self.databases.unreachable(target);
+                self.databases.record_unreachable(target);
                 ExchangeError::Lost(broken)
             }
             CallError::DatabaseBroke(broken) => {
-                target.state.failed();
+                target.state.record_failure();
                 ExchangeError::Lost(broken)
             }
             CallError::HomeLost(broken) => ExchangeError::Lost(broken),
             CallError::NotRun(refusal) => {
                 if refusal.unreachable {
-                    target.state.failed();
+                    target.state.record_failure();
                 }
                 ExchangeError::NotRun(refusal.kind)
             }
--- a/crates/dyketally-gateway/src/fleet/connection.rs
+++ b/crates/dyketally-gateway/src/fleet/connection.rs
@@ -7,8 +7,8 @@
 use dyketally::identifiers::DatabaseName;
 
 use crate::database::batch::{Batch, Reset};
-use crate::database::claim::Refusal;
 use crate::database::connection::{Answer, end_outside_transaction};
+use crate::database::connection_request::Refusal;
 use crate::database::pool;
 use crate::fleet::link::{CallError, HomeCall};
 use crate::ports::OwnStatement;
@@ -38,7 +38,7 @@
     pub fn roll_back(self, reset: Reset) {
         let mut checkout = self;
         tokio::task::spawn_local(async move {
-            let mut batch = Batch::own([OwnStatement::Rollback]);
+            let mut batch = Batch::of_gateway([OwnStatement::Rollback]);
             batch.reset = reset;
             let permission = Permission::control(checkout.database());
             let running = checkout.run(&batch, permission);
--- a/crates/dyketally-gateway/src/fleet/coordinator.rs
+++ b/crates/dyketally-gateway/src/fleet/coordinator.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records the coordinator's key as the store holds it; ignores an entry that isn't a node's record.
-    pub fn learn(&self, entry: &Entry) {
+    pub fn record_entry(&self, entry: &Entry) {
         let Some(node) = NodeRecord::read(entry) else {
             return;
         };
@@ -121,14 +121,14 @@
     }
 
     /// The address of the node that announced itself as coordinator, while the announcement is valid.
-    pub fn announced(&self) -> Option<SocketAddr> {
+    pub fn announced_address(&self) -> Option<SocketAddr> {
         let announced = self.announced.borrow();
         let (node, at) = announced.as_ref()?;
         (at.elapsed() < ANNOUNCEMENT_VALIDITY).then_some(node.address)
     }
 
     /// The address of the last coordinator whose key was deleted, if that node may still run.
-    pub fn former(&self) -> Option<SocketAddr> {
+    pub fn former_address(&self) -> Option<SocketAddr> {
         let (address, since) = self.former.get()?;
         (since.elapsed() < DEPARTED_RETENTION).then_some(address)
     }
@@ -137,7 +137,7 @@
     pub fn address(&self) -> Option<SocketAddr> {
         let record = self.record.borrow();
         let known = record.as_ref().map(|record| record.node.address);
-        known.or_else(|| self.announced())
+        known.or_else(|| self.announced_address())
     }
 
     /// This node's term until it resigns, even if its lease may have ended. No other node can have become
--- a/crates/dyketally-gateway/src/fleet/home.rs
+++ b/crates/dyketally-gateway/src/fleet/home.rs
@@ -13,8 +13,8 @@
 use tokio::time::Instant;
 
 use crate::database::batch::{Batch, Reset};
-use crate::database::claim::{ConnectionRequest, Refusal};
 use crate::database::connection::{BrokenConnection, end_outside_transaction};
+use crate::database::connection_request::{ConnectionRequest, Refusal};
 use crate::database::target::Target;
 use crate::fleet::Fleet;
 use crate::fleet::access::{DatabaseAccess, ExchangeError};
@@ -126,9 +126,10 @@
     };
     let exchange = access.exchange(&mut checkout, &target, &call.batch, permission);
     match exchange.await {
-        Ok(_) if call.batch.needs_leader() && access.databases.is_fenced(&target.name) => {
-            (CallReply::Broken(BrokenConnection::replaced().reason), None)
-        }
+        Ok(_) if call.batch.needs_leader() && access.databases.is_fenced(&target.name) => (
+            CallReply::Broken(BrokenConnection::primary_replaced().reason),
+            None,
+        ),
         Ok(answers) => {
             if end_outside_transaction(&answers) {
                 checkout.give_back();
@@ -190,18 +191,18 @@
     let none = BTreeMap::new();
     let context = call.batch.context.as_ref();
     let values = context.map_or(&none, |context| &context.values);
-    let claim = ConnectionRequest {
+    let request = ConnectionRequest {
         priority: call.priority,
-        until: Instant::now() + Duration::from_millis(call.wait_limit_ms.into()),
-        patience: Patience {
+        deadline: Instant::now() + Duration::from_millis(call.wait_limit_ms.into()),
+        queue_timeout: Patience {
             burst: Duration::from_millis(call.burst_ms.into()),
             standing: Duration::from_millis(call.standing_ms.into()),
         },
-        work: call.work,
+        connection_use: call.connection_use,
         user: call.user.clone(),
         regions: ServingRegions::anywhere(),
     };
-    let checkout = access.databases.checkout(&target, values, claim);
+    let checkout = access.databases.checkout(&target, values, request);
     match checkout.await {
         Ok(checkout) => Ok(PinnedConnection {
             checkout: Some(DatabaseConnection::Own(checkout)),
--- a/crates/dyketally-gateway/src/fleet/homes.rs
+++ b/crates/dyketally-gateway/src/fleet/homes.rs
@@ -121,7 +121,7 @@
     /// Number of nodes that share a database's slots: the number of its homes. If every node is a home, the
     /// slots aren't divided (1): most nodes are far from the database and need more requests in flight to
     /// keep a slot busy, and the database's refusals limit each node.
-    fn sharers(&self, database: &DatabaseName) -> usize {
+    fn slot_sharers(&self, database: &DatabaseName) -> usize {
         match self
             .placement_of(database)
             .map(|placement| placement.sharing)
@@ -136,7 +136,7 @@
         self.membership.is_known() && placement().is_some_and(|it| it.may_send_cold)
     }
 
-    fn forget(&self) {
+    fn invalidate(&self) {
         self.homes.forget();
     }
 }
--- a/crates/dyketally-gateway/src/fleet/link/call.rs
+++ b/crates/dyketally-gateway/src/fleet/link/call.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::database::batch::Batch;
-use crate::database::claim::{ConnectionUse, Refusal};
 use crate::database::connection::{Answer, BrokenConnection};
+use crate::database::connection_request::{ConnectionUse, Refusal};
 use crate::ports::DatabaseUser;
 
 /// A request to a home to run a batch at a database.
@@ -26,7 +26,7 @@
     /// drain.
     pub standing_ms: u32,
     /// The kind of use that the connection is wanted for.
-    pub work: ConnectionUse,
+    pub connection_use: ConnectionUse,
     /// The user as which the connection must be open; `None` if any user will do.
     pub user: Option<DatabaseUser>,
     /// The batch to run: borrowed by the sender, owned by the receiver.
--- a/crates/dyketally-gateway/src/fleet/link/home_call.rs
+++ b/crates/dyketally-gateway/src/fleet/link/home_call.rs
@@ -13,8 +13,8 @@
 use super::links::Link;
 use super::{Call, CallError, CallReply};
 use crate::database::batch::Batch;
-use crate::database::claim::{ConnectionRequest, Refusal};
 use crate::database::connection::{Answer, BrokenConnection, end_outside_transaction};
+use crate::database::connection_request::{ConnectionRequest, Refusal};
 use crate::fleet::access::DatabaseAccess;
 use crate::measures::Stage;
 
@@ -27,7 +27,7 @@
     access: Rc<DatabaseAccess>,
     database: DatabaseName,
     homes: Rc<[SocketAddr]>,
-    claim: ConnectionRequest,
+    request: ConnectionRequest,
     link: Option<(SocketAddr, Link)>,
     /// True while the home has pinned a connection to the link, as a transaction is open on it.
     pinned: bool,
@@ -41,13 +41,13 @@
         access: Rc<DatabaseAccess>,
         database: DatabaseName,
         homes: Rc<[SocketAddr]>,
-        claim: ConnectionRequest,
+        request: ConnectionRequest,
     ) -> Self {
         Self {
             access,
             database,
             homes,
-            claim,
+            request,
             link: None,
             pinned: false,
             rate_used_up: Vec::new(),
@@ -89,7 +89,7 @@
                 .fleet
                 .cx
                 .measures
-                .spent(Stage::Link, began.elapsed());
+                .record_stage(Stage::Link, began.elapsed());
             let reply = reply.map_err(|broken| {
                 self.exclude(home);
                 CallError::HomeLost(broken)
@@ -97,7 +97,10 @@
             self.link = Some((home, link));
             match reply {
                 CallReply::Answers(answers) => {
-                    self.access.databases.pacer(&self.database).ran();
+                    self.access
+                        .databases
+                        .pacer(&self.database)
+                        .answered_another_node();
                     self.pinned = !end_outside_transaction(&answers);
                     return Ok(answers);
                 }
@@ -126,15 +129,18 @@
 
     /// The message that requests `batch` from a home.
     fn call<'a>(&self, batch: &'a Batch) -> Call<'a> {
-        let time_left = self.claim.until.saturating_duration_since(Instant::now());
+        let time_left = self
+            .request
+            .deadline
+            .saturating_duration_since(Instant::now());
         Call {
             database: self.database.clone(),
-            priority: self.claim.priority,
+            priority: self.request.priority,
             wait_limit_ms: milliseconds(time_left),
-            burst_ms: milliseconds(self.claim.patience.burst),
-            standing_ms: milliseconds(self.claim.patience.standing),
-            work: self.claim.work,
-            user: self.claim.user.clone(),
+            burst_ms: milliseconds(self.request.queue_timeout.burst),
+            standing_ms: milliseconds(self.request.queue_timeout.standing),
+            connection_use: self.request.connection_use,
+            user: self.request.user.clone(),
             batch: Cow::Borrowed(batch),
         }
     }
@@ -168,7 +174,7 @@
         let homes = self.homes.clone();
         for home in homes.iter() {
             if self.access.fleet.homes.passed_over.contains(home)
-                || Instant::now() >= self.claim.until
+                || Instant::now() >= self.request.deadline
             {
                 continue;
             }
--- a/crates/dyketally-gateway/src/fleet/membership.rs
+++ b/crates/dyketally-gateway/src/fleet/membership.rs
@@ -80,7 +80,7 @@
     }
 
     /// Adds relays that a seed named, up to `MAX_NAMED_RELAYS` in all.
-    pub fn add_named_relays(&self, relays: Vec<SocketAddr>) {
+    pub fn add_relays(&self, relays: Vec<SocketAddr>) {
         let mut named = self.named_relays.borrow_mut();
         for relay in relays {
             if !named.contains(&relay) && named.len() < MAX_NAMED_RELAYS {
@@ -109,24 +109,24 @@
     }
 
     /// Replaces the nodes that run by `nodes`, the full list in the store.
-    pub fn listed(&self, nodes: Vec<NodeRecord>) {
+    pub fn replace_all(&self, nodes: Vec<NodeRecord>) {
         self.known.set(true);
         let former = std::mem::take(&mut *self.nodes.borrow_mut());
         former
             .into_values()
             .for_each(|node| self.record_departed(node));
-        nodes.into_iter().for_each(|node| self.joined(node));
+        nodes.into_iter().for_each(|node| self.record_joined(node));
     }
 
     /// Records a node that the store lists.
-    pub fn joined(&self, node: NodeRecord) {
+    pub fn record_joined(&self, node: NodeRecord) {
         let name = node.node.clone();
         self.departed.borrow_mut().remove(&name);
         self.nodes.borrow_mut().insert(name, node);
     }
 
     /// Records that the store no longer lists a node.
-    pub fn left(&self, name: &NodeName) {
+    pub fn record_left(&self, name: &NodeName) {
         let node = self.nodes.borrow_mut().remove(name);
         node.into_iter().for_each(|node| self.record_departed(node));
     }
--- a/crates/dyketally-gateway/src/fleet/message.rs
+++ b/crates/dyketally-gateway/src/fleet/message.rs
@@ -62,7 +62,7 @@
         /// suspicion or the round of fences is over.
         contested: bool,
         /// Addresses of the nodes to which the sender has recently sent a sign of life.
-        heard: Vec<SocketAddr>,
+        recently_answered: Vec<SocketAddr>,
     },
     /// Clears the fence around a database that won't be replaced.
     ClearFence {
--- a/crates/dyketally-gateway/src/fleet/peer/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/mod.rs
@@ -59,7 +59,7 @@
     /// the round of fences is over.
     pub contested: bool,
     /// Addresses of the nodes to which the replying node has recently sent a sign of life.
-    pub heard: Vec<SocketAddr>,
+    pub recently_answered: Vec<SocketAddr>,
 }
 
 impl Peers {
@@ -96,7 +96,7 @@
     }
 
     /// Addresses of the nodes that may still count a sign of life that this node sent them.
-    pub fn heard(&self) -> Vec<SocketAddr> {
+    pub fn recently_answered(&self) -> Vec<SocketAddr> {
         let mut requesters = self.sign_of_life_requesters.borrow_mut();
         requesters.retain(|_, at| at.elapsed() < SIGN_OF_LIFE_VALIDITY);
         requesters.keys().copied().collect()
@@ -146,7 +146,7 @@
     }
 
     /// Addresses of the nodes whose heartbeats arrive from now on. Replaces an earlier receiver.
-    pub fn heartbeats(&self) -> mpsc::UnboundedReceiver<SocketAddr> {
+    pub fn subscribe_heartbeats(&self) -> mpsc::UnboundedReceiver<SocketAddr> {
         let (sender, receiver) = mpsc::unbounded_channel();
         *self.heartbeats.borrow_mut() = Some(sender);
         receiver
--- a/crates/dyketally-gateway/src/fleet/peer/poll.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/poll.rs
@@ -26,7 +26,7 @@
 /// A poll that collects votes until it is dropped.
 pub struct Poll {
     /// Number of nodes that were polled.
-    pub asked: usize,
+    pub polled: usize,
     /// The votes as they arrive.
     pub votes: Replies<Vote>,
 }
@@ -46,7 +46,7 @@
             self.send(*address, &message);
         }
         Poll {
-            asked: polled.len(),
+            polled: polled.len(),
             votes,
         }
     }
--- a/crates/dyketally-gateway/src/fleet/peer/requests.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/requests.rs
@@ -17,7 +17,7 @@
 #[async_trait(?Send)]
 pub trait PeerRequests {
     /// Called when another node suspects a primary.
-    fn suspected(&self, group: GroupName, database: DatabaseName);
+    fn primary_suspected(&self, group: GroupName, database: DatabaseName);
 
     /// Whether and how a database of `group` answers this node; `None` when this node doesn't know the
     /// database.
@@ -36,7 +36,7 @@
 
     /// Decides in `role` on a request for `wanted` operations of `tenant`; `None` when the tenant has no
     /// quota.
-    fn account(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision>;
+    fn decide_permit(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision>;
 }
 
 impl Peers {
@@ -47,7 +47,7 @@
         message: PeerMessage,
     ) {
         match message {
-            PeerMessage::Suspect { group, database } => requests.suspected(group, database),
+            PeerMessage::Suspect { group, database } => requests.primary_suspected(group, database),
             PeerMessage::Poll {
                 poll,
                 group,
@@ -72,24 +72,27 @@
                 suspected_ms,
             } => {
                 let suspected = Duration::from_millis(suspected_ms.into());
-                let contested = !self.access.databases.fence(&database, id, suspected);
-                let heard = self.heard();
+                let contested = !self
+                    .access
+                    .databases
+                    .set_fence_unless_answered(&database, id, suspected);
+                let recently_answered = self.recently_answered();
                 let reply = PeerMessage::FenceReply {
                     round,
                     contested,
-                    heard,
+                    recently_answered,
                 };
                 self.send(from, &reply);
             }
             PeerMessage::FenceReply {
                 round,
                 contested,
-                heard,
+                recently_answered,
             } => {
                 let reply = FenceReply {
                     from,
                     contested,
-                    heard,
+                    recently_answered,
                 };
                 self.fence_rounds.deliver(round, reply);
             }
@@ -132,16 +135,14 @@
                 let relays = requests.relays_for(&zone);
                 self.send(from, &PeerMessage::RelaysReply { relays });
             }
-            PeerMessage::RelaysReply { relays } => {
-                self.access.fleet.membership.add_named_relays(relays)
-            }
+            PeerMessage::RelaysReply { relays } => self.access.fleet.membership.add_relays(relays),
             PeerMessage::PermitRequest {
                 round,
                 tenant,
                 wanted,
                 role,
             } => {
-                if let Some(decision) = requests.account(&tenant, wanted, role) {
+                if let Some(decision) = requests.decide_permit(&tenant, wanted, role) {
                     self.send(from, &PeerMessage::PermitReply { round, decision });
                 }
             }
@@ -174,7 +175,12 @@
         group: GroupName,
         database: DatabaseName,
     ) {
-        self.access.fleet.cx.store_health.check.notify_one();
+        self.access
+            .fleet
+            .cx
+            .store_health
+            .check_requested
+            .notify_one();
         let peers = self.clone();
         let requests = requests.clone();
         tokio::task::spawn_local(async move {
--- a/crates/dyketally-gateway/src/gateway.rs
+++ b/crates/dyketally-gateway/src/gateway.rs
@@ -124,10 +124,11 @@
         self.cx.events.write(&Event::Counters(&self.cx.counters));
     }
 
-    /// Runs the periodic tasks: logs the counters, and tidies databases and idle links.
-    pub fn tidy(&self) {
+    /// Runs the periodic tasks: logs the counters, forgets databases that are gone, and closes idle connections
+    /// and links.
+    pub fn run_periodic_tasks(&self) {
         self.log_counters();
-        self.databases.tidy();
+        self.databases.forget_gone_and_close_idle();
         self.fleet.links.close_expired();
     }
 
--- a/crates/dyketally-gateway/src/measures.rs
+++ b/crates/dyketally-gateway/src/measures.rs
@@ -130,7 +130,7 @@
 
     /// Records a statement that was answered: its outcome, `failed` if it failed, and the time since its
     /// arrival.
-    pub fn answered(&self, route: &str, failed: Option<FailureKind>, elapsed: Duration) {
+    pub fn count_statement(&self, route: &str, failed: Option<FailureKind>, elapsed: Duration) {
         let outcome = failed.map_or_else(|| "served".to_owned(), |kind| format!("{kind:?}"));
         self.statements.with_label_values(&[route, &outcome]).inc();
         let seconds = self.statement_seconds.with_label_values(&[route]);
@@ -138,7 +138,7 @@
     }
 
     /// Records how long a statement spent in a stage.
-    pub fn spent(&self, stage: Stage, elapsed: Duration) {
+    pub fn record_stage(&self, stage: Stage, elapsed: Duration) {
         let seconds = self.stage_seconds.with_label_values(&[stage.name()]);
         seconds.observe(elapsed.as_secs_f64());
     }
--- a/crates/dyketally-gateway/src/node/exposition.rs
+++ b/crates/dyketally-gateway/src/node/exposition.rs
@@ -73,7 +73,7 @@
         set(
             "dyketally_sessions",
             "Open sessions.",
-            self.gateway.sessions.open(),
+            self.gateway.sessions.open_count(),
         );
         set(
             "dyketally_nodes",
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -46,8 +46,8 @@
 use crate::succession::failover::Failover;
 use crate::succession::fence::FenceKeeper;
 
-/// Pause between two calls of [`Gateway::tidy`].
-const TIDY_INTERVAL: Duration = Duration::from_secs(5);
+/// Pause between two calls of [`Gateway::run_periodic_tasks`].
+const PERIODIC_TASKS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The adapters through which the gateway reaches callers, databases, the store and the platform.
 pub struct Adapters {
@@ -144,7 +144,7 @@
     tokio::task::spawn_local(liveness.run());
     let registration_ended = tokio::task::spawn_local(registration.run());
     let coordination_ended = tokio::task::spawn_local(coordinator.run());
-    tokio::task::spawn_local(tidy(gateway.clone()));
+    tokio::task::spawn_local(run_periodic_tasks(gateway.clone()));
     tokio::task::spawn_local(log_unconfirmed(gateway.cx.clone(), gateway.feed.clone()));
     updates::watch_store(&gateway, &parts, &adapters.documents);
     let accepting =
@@ -165,11 +165,11 @@
     Ok(())
 }
 
-/// Calls [`Gateway::tidy`] periodically until the process ends.
-async fn tidy(gateway: Rc<Gateway>) {
+/// Calls [`Gateway::run_periodic_tasks`] periodically until the process ends.
+async fn run_periodic_tasks(gateway: Rc<Gateway>) {
     loop {
-        tokio::time::sleep(TIDY_INTERVAL).await;
-        gateway.tidy();
+        tokio::time::sleep(PERIODIC_TASKS_INTERVAL).await;
+        gateway.run_periodic_tasks();
     }
 }
 
--- a/crates/dyketally-gateway/src/node/nodes_handler.rs
+++ b/crates/dyketally-gateway/src/node/nodes_handler.rs
@@ -58,11 +58,11 @@
             StoreUpdate::All(entries) => {
                 fleet.coordinator.forget_record();
                 let nodes = entries.iter().filter_map(|entry| self.receive_entry(entry));
-                fleet.membership.listed(nodes.collect());
+                fleet.membership.replace_all(nodes.collect());
             }
             StoreUpdate::Changed(WatchEvent::Put(entry)) => {
                 if let Some(node) = self.receive_entry(&entry) {
-                    fleet.membership.joined(node);
+                    fleet.membership.record_joined(node);
                 }
             }
             StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => self.receive_deletion(&key),
@@ -76,7 +76,7 @@
             return None;
         }
         if entry.key == self.keys.coordinator() {
-            self.gateway.fleet.coordinator.learn(entry);
+            self.gateway.fleet.coordinator.record_entry(entry);
             return None;
         }
         NodeRecord::read(entry)
@@ -90,7 +90,7 @@
             return;
         }
         if let Some(name) = self.keys.node_of(key) {
-            fleet.membership.left(&name);
+            fleet.membership.record_left(&name);
         }
     }
 }
--- a/crates/dyketally-gateway/src/node/stop.rs
+++ b/crates/dyketally-gateway/src/node/stop.rs
@@ -34,7 +34,7 @@
     let end = began + time_to_stop.mul_f64(END_SHARE);
     let transactions_end = began + time_to_stop.mul_f64(TRANSACTIONS_SHARE);
     gateway.cx.events.write(&Event::Stopping {
-        sessions: gateway.sessions.open(),
+        sessions: gateway.sessions.open_count(),
     });
     gateway.cx.stop.enter(StopPhase::Leaving);
     // If the store doesn't answer in time, the leases lapse by themselves and the store removes the keys.
@@ -50,13 +50,13 @@
         sent_bytes: gateway.fleet.traffic.by_node(),
     });
     gateway.cx.events.write(&Event::Stopped {
-        sessions: gateway.sessions.open(),
+        sessions: gateway.sessions.open_count(),
     });
 }
 
 /// Waits until all sessions and calls from other nodes have ended, or until `until`.
 async fn wait_for_sessions(gateway: &Rc<Gateway>, until: Instant) {
-    while gateway.sessions.open() + gateway.fleet.calls.get() > 0 && Instant::now() < until {
+    while gateway.sessions.open_count() + gateway.fleet.calls.get() > 0 && Instant::now() < until {
         tokio::time::sleep(SESSION_CHECK_INTERVAL).await;
     }
 }
--- a/crates/dyketally-gateway/src/quota/mod.rs
+++ b/crates/dyketally-gateway/src/quota/mod.rs
@@ -105,7 +105,9 @@
         if !self.allowance(name, held) {
             let began = Instant::now();
             let obtained = self.obtain(name, quota, until).await;
-            self.cx.measures.spent(Stage::Permit, began.elapsed());
+            self.cx
+                .measures
+                .record_stage(Stage::Permit, began.elapsed());
             obtained.inspect_err(|_| {
                 self.cx.counters.over_quota.add();
                 self.cx.measures.refused_over_quota(name);
@@ -160,7 +162,7 @@
 
     /// Decides in `role` on a request for `wanted` operations of `tenant`; `None` when the current
     /// configuration gives the tenant no quota.
-    pub fn account(
+    pub fn decide_permit(
         self: &Rc<Self>,
         tenant: &TenantName,
         wanted: u32,
--- a/crates/dyketally-gateway/src/quota/permit_requests.rs
+++ b/crates/dyketally-gateway/src/quota/permit_requests.rs
@@ -92,7 +92,7 @@
         for node in self.accountants(tenant) {
             let asked_as = std::mem::replace(&mut role, Role::StandIn);
             let Some(address) = node else {
-                return self.account(tenant, wanted, asked_as);
+                return self.decide_permit(tenant, wanted, asked_as);
             };
             // The next node is asked only once this one is excluded: two nodes that grant operations of one tenant to
             // the same nodes would grant twice as many.
--- a/crates/dyketally-gateway/src/session/mod.rs
+++ b/crates/dyketally-gateway/src/session/mod.rs
@@ -61,7 +61,7 @@
     }
 
     /// Number of open sessions, including those that are being refused.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.load.open()
     }
 
--- a/crates/dyketally-gateway/src/session/serving.rs
+++ b/crates/dyketally-gateway/src/session/serving.rs
@@ -103,7 +103,7 @@
             true => StopPhase::EndingTransactions,
             false => StopPhase::ClosingSessions,
         };
-        self.sessions.cx.stop.entered(phase).await;
+        self.sessions.cx.stop.wait_for_phase(phase).await;
     }
 
     fn roll_back_idle_transaction(&mut self) {
--- a/crates/dyketally-gateway/src/statement/attempt.rs
+++ b/crates/dyketally-gateway/src/statement/attempt.rs
@@ -4,8 +4,8 @@
 
 use dyketally::statement::FailureKind;
 
-use crate::database::claim::ConnectionUse;
 use crate::database::connection::{Answer, BrokenConnection};
+use crate::database::connection_request::ConnectionUse;
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
 use crate::decision::{Operation, learn};
@@ -51,16 +51,18 @@
         }
     }
 
-    /// Checks out a connection to `target` for `work` of `request`; on failure tells why there is none.
+    /// Checks out a connection to `target` for `connection_use` of `request`; on failure tells why there is none.
     pub(super) async fn checkout(
         self: &Rc<Self>,
         request: &Request,
         target: &Target,
-        work: ConnectionUse,
+        connection_use: ConnectionUse,
     ) -> Result<DatabaseConnection, FailureKind> {
-        let checkout = self
-            .access
-            .connect(target, &request.values, request.claim(work));
+        let checkout = self.access.connect(
+            target,
+            &request.values,
+            request.connection_request(connection_use),
+        );
         checkout.await
     }
 }
--- a/crates/dyketally-gateway/src/statement/choose.rs
+++ b/crates/dyketally-gateway/src/statement/choose.rs
@@ -167,7 +167,7 @@
         let intent = Intent::first(&request.regions, false);
         let eligible = directory
             .members(group)
-            .filter(|member| self.databases.judge(member, &intent).is_ok());
+            .filter(|member| self.databases.check_eligibility(member, &intent).is_ok());
         let candidates = eligible.map(|member| {
             let target = self
                 .databases
@@ -203,7 +203,7 @@
     /// Whether a read may go to `target` like to a warm database. During slow start a random sample decides, by
     /// a share that grows up to 1.
     fn admits_in_slow_start(&self, target: &Target) -> bool {
-        let share = self.databases.pacer(&target.name).share();
+        let share = self.databases.pacer(&target.name).read_share();
         share >= 1.0 || rand::random_bool(share)
     }
 }
--- a/crates/dyketally-gateway/src/statement/read.rs
+++ b/crates/dyketally-gateway/src/statement/read.rs
@@ -13,8 +13,8 @@
 use tokio::time::Instant;
 
 use crate::database::batch::{Batch, Step};
-use crate::database::claim::ConnectionUse;
 use crate::database::connection::{Answer, BrokenConnection, end_outside_transaction};
+use crate::database::connection_request::ConnectionUse;
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
 use crate::decision::give_up::{self, Time};
@@ -149,7 +149,7 @@
             Ok(checkout) => checkout,
             Err(kind) => return AttemptOutcome::NotRun(kind),
         };
-        let batch = Batch::of(request.context(), steps(request, *check));
+        let batch = Batch::for_session(request.context(), steps(request, *check));
         let sent = self.cx.now();
         let exchange = request.exchange(self, &mut checkout, target, &batch, Stage::First);
         let (answers, dispatch) = match exchange.await {
@@ -229,11 +229,12 @@
             ReadAfterBegin::AnswerIfLeading
                 if !self.leadership.checks.still_leads_since(target, sent).await =>
             {
-                AttemptOutcome::Lost(BrokenConnection::replaced())
+                AttemptOutcome::Lost(BrokenConnection::primary_replaced())
             }
             ReadAfterBegin::AnswerIfLeading => {
                 self.cx.counters.reads_at_primaries.add();
-                self.databases.observe(&target.group, answer.position, sent);
+                self.databases
+                    .record_primary_position(&target.group, answer.position, sent);
                 AttemptOutcome::Answered(answer)
             }
             ReadAfterBegin::FailedAtLeader => AttemptOutcome::Answered(answer),
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -18,9 +18,9 @@
 use tokio::time::Instant;
 
 use crate::database::batch::{Batch, SessionContext, Step};
-use crate::database::claim::failure_kind;
-use crate::database::claim::{ConnectionRequest, ConnectionUse};
 use crate::database::connection::Answer;
+use crate::database::connection_request::failure_kind;
+use crate::database::connection_request::{ConnectionRequest, ConnectionUse};
 use crate::database::target::Target;
 use crate::decision::{Reason, admit, come_back, give_up};
 use crate::event::Event;
@@ -202,12 +202,12 @@
     }
 
     /// The request for a connection for `connection_use`: priority, wait limit and queue timeouts.
-    pub fn claim(&self, work: ConnectionUse) -> ConnectionRequest {
+    pub fn connection_request(&self, connection_use: ConnectionUse) -> ConnectionRequest {
         ConnectionRequest {
             priority: self.route.priority + 1,
-            until: self.latest_start(),
-            patience: admit::queue_timeouts(self.route.latency_objective),
-            work,
+            deadline: self.latest_start(),
+            queue_timeout: admit::queue_timeouts(self.route.latency_objective),
+            connection_use,
             user: Some(self.user()),
             regions: self.regions.clone(),
         }
@@ -284,7 +284,7 @@
         statements
             .cx
             .measures
-            .answered(&self.route.name, failed, elapsed);
+            .count_statement(&self.route.name, failed, elapsed);
         let outcome = match &response.end {
             Ok(_) if self.attempts.get() <= 1 => return,
             Ok(_) => "served".to_owned(),
--- a/crates/dyketally-gateway/src/statement/transaction/bound.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/bound.rs
@@ -73,7 +73,7 @@
         let reset = self.reset_after_failure();
         let bound = self.bound.as_mut()?;
         request.count_attempt(statements);
-        let mut batch = Batch::of(request.context(), vec![request.step(None)]);
+        let mut batch = Batch::for_session(request.context(), vec![request.step(None)]);
         batch.reset = reset;
         let sent = statements.cx.now();
         let (checkout, target) = (&mut bound.checkout, &bound.target);
@@ -90,9 +90,11 @@
                 .checks
                 .is_certain_leader(&bound.target)
         {
-            statements
-                .databases
-                .observe(&bound.target.group, answer.position, sent);
+            statements.databases.record_primary_position(
+                &bound.target.group,
+                answer.position,
+                sent,
+            );
         }
         Some(answer)
     }
--- a/crates/dyketally-gateway/src/statement/transaction/commit.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/commit.rs
@@ -47,7 +47,7 @@
     ) -> TransactionAnswer {
         if self.wrote && answer.end.is_ok() && !self.is_upheld(statements, sent).await {
             self.bound = None;
-            let response = Response::in_doubt(&BrokenConnection::replaced().reason);
+            let response = Response::in_doubt(&BrokenConnection::primary_replaced().reason);
             request.record_outcome(statements, &response, Reason::DatabaseReplaced);
             return TransactionAnswer::ended(response, Reason::DatabaseReplaced);
         }
--- a/crates/dyketally-gateway/src/statement/transaction/first.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/first.rs
@@ -13,8 +13,8 @@
 use super::Transaction;
 use super::bound::BoundConnection;
 use crate::database::batch::{Batch, Flow, Step};
-use crate::database::claim::ConnectionUse;
 use crate::database::connection::Answer;
+use crate::database::connection_request::ConnectionUse;
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
 use crate::decision::give_up::{self, Time};
@@ -137,7 +137,7 @@
         if leads {
             statements
                 .databases
-                .observe(&target.group, begun.position, sent);
+                .record_primary_position(&target.group, begun.position, sent);
         }
         self.bound = Some(BoundConnection {
             checkout,
@@ -150,7 +150,7 @@
         if leads && answer.end.is_ok() && statements.leadership.checks.is_certain_leader(&target) {
             statements
                 .databases
-                .observe(&target.group, answer.position, sent);
+                .record_primary_position(&target.group, answer.position, sent);
         }
         match &answer.end {
             Err(failure) if failure.kind.not_run() => {
@@ -171,7 +171,7 @@
             FreshnessCheck::Leads => OwnStatement::Begin,
         };
         let steps = vec![Step::Own(begin), request.step(None)];
-        let mut batch = Batch::of(request.context(), steps);
+        let mut batch = Batch::for_session(request.context(), steps);
         batch.flow = Flow::UntilFailure;
         batch.reset = self.reset_after_failure();
         batch
--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -6,8 +6,8 @@
 use tokio::time::Instant;
 
 use crate::database::batch::Batch;
-use crate::database::claim::ConnectionUse;
 use crate::database::connection::BrokenConnection;
+use crate::database::connection_request::ConnectionUse;
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
 use crate::decision::give_up::{self, Time};
@@ -104,7 +104,7 @@
             Ok(checkout) => checkout,
             Err(kind) => return AttemptOutcome::NotRun(kind),
         };
-        let batch = Batch::of(request.context(), vec![request.step(None)]);
+        let batch = Batch::for_session(request.context(), vec![request.step(None)]);
         request.count_attempt(self);
         let sent = self.cx.now();
         let exchange = request.exchange(self, &mut checkout, target, &batch, Stage::First);
@@ -123,9 +123,11 @@
         }
         match &answer.end {
             Ok(_) if !self.leadership.checks.still_leads_since(target, sent).await => {
-                return AttemptOutcome::Lost(BrokenConnection::replaced());
+                return AttemptOutcome::Lost(BrokenConnection::primary_replaced());
             }
-            Ok(_) => self.databases.observe(&target.group, answer.position, sent),
+            Ok(_) => self
+                .databases
+                .record_primary_position(&target.group, answer.position, sent),
             Err(failure) if failure.kind.not_run() => {
                 dispatch.rejected();
                 let feedback =
--- a/crates/dyketally-gateway/src/store/feed/contact.rs
+++ b/crates/dyketally-gateway/src/store/feed/contact.rs
@@ -33,8 +33,8 @@
     pub(super) fn receive_relay_contact(&self, ping_sent: Timestamp, relayed: RelayContact) {
         self.databases.merge_fences(relayed.fenced, "a relay");
         match relayed.store {
-            Some(age) if age < STORE_FAILING_AFTER => self.cx.store_health.replied(),
-            Some(_) | None => self.cx.store_health.failed(),
+            Some(age) if age < STORE_FAILING_AFTER => self.cx.store_health.record_reply(),
+            Some(_) | None => self.cx.store_health.record_failure(),
         }
         if self.fleet.coordinator.last_term().is_some() {
             return;
--- a/crates/dyketally-gateway/src/store/keys.rs
+++ b/crates/dyketally-gateway/src/store/keys.rs
@@ -67,8 +67,8 @@
         Some(DatabaseName::from(database))
     }
 
-    /// The operation that puts the round of a fence under `key`, a key made by [`StoreKeys::fence`], for as long as `lease`
-    /// is held.
+    /// The operation that puts the round of a fence under `key`, a key made by [`StoreKeys::fence`], for as long
+    /// as `lease` is held.
     pub fn put_fence(key: Key, id: FenceId, lease: LeaseId) -> Operation {
         Operation::Put(PutRequest {
             key,
@@ -87,7 +87,7 @@
     }
 
     /// The operation that puts this node's record under `key` for as long as `lease` is held.
-    pub fn put(&self, key: Key, lease: LeaseId) -> Operation {
+    pub fn put_record(&self, key: Key, lease: LeaseId) -> Operation {
         let value = serde_json::to_vec(&self.record);
         let value = value.expect("a record of names, numbers and an address has a JSON form");
         Operation::Put(PutRequest {
--- a/crates/dyketally-gateway/src/store/liveness.rs
+++ b/crates/dyketally-gateway/src/store/liveness.rs
@@ -54,7 +54,7 @@
 
     /// Monitors nodes until the process stops.
     pub async fn run(self) {
-        let mut heartbeats = self.peers.heartbeats();
+        let mut heartbeats = self.peers.subscribe_heartbeats();
         let mut next = Instant::now() + HEARTBEAT_INTERVAL;
         loop {
             tokio::select! {
--- a/crates/dyketally-gateway/src/store/registration.rs
+++ b/crates/dyketally-gateway/src/store/registration.rs
@@ -63,13 +63,13 @@
         while !self.parts.cx.stop.is_stopping() {
             match self.join().await {
                 Ok(lease) => {
-                    self.parts.cx.store_health.replied();
+                    self.parts.cx.store_health.record_reply();
                     former = Some(lease);
                     self.renew_until_lapsed(lease).await;
                 }
                 // Not logged here: joining is retried, and watchers log the loss of the store.
                 Err(_) => {
-                    self.parts.cx.store_health.failed();
+                    self.parts.cx.store_health.record_failure();
                     self.until_store_replies(former).await;
                 }
             }
@@ -106,7 +106,7 @@
     async fn join(&self) -> Result<LeaseId, StoreError> {
         let lease = self.parts.store.grant_lease(LEASE_DURATION).await?;
         let sent_at = self.parts.cx.now();
-        let put = self.parts.keys.put(self.parts.keys.node(), lease.id);
+        let put = self.parts.keys.put_record(self.parts.keys.node(), lease.id);
         self.parts
             .store
             .transact(TransactionRequest {
@@ -133,12 +133,12 @@
                 () = tokio::time::sleep_until(due) => {}
                 () = self.parts.feed.relay_changes() => continue,
                 () = self.parts.fleet.membership.nodes_changed.notified() => continue,
-                () = self.parts.cx.store_health.check.notified() => {
+                () = self.parts.cx.store_health.check_requested.notified() => {
                     if self.parts.feed.has_relay() || renewed.elapsed() < RECENT_RENEWAL {
                         continue;
                     }
                 }
-                () = self.parts.cx.stop.entered(StopPhase::Leaving) => {
+                () = self.parts.cx.stop.wait_for_phase(StopPhase::Leaving) => {
                     self.parts.cx.contact.discard_store_contact();
                     // A failure is ignored: the process is ending, and the lease lapses by itself.
                     let _ = self.parts.store.revoke_lease(lease).await;
--- a/crates/dyketally-gateway/src/store/watch/outage.rs
+++ b/crates/dyketally-gateway/src/store/watch/outage.rs
@@ -38,7 +38,7 @@
                 prefix: &self.spec.prefix,
             });
         }
-        self.parts.cx.store_health.replied();
+        self.parts.cx.store_health.record_reply();
     }
 
     /// Waits after a failed read until this node follows a relay or it makes sense to read again.
@@ -62,7 +62,7 @@
         }
         self.outage.failures += 1;
         let health = &self.parts.cx.store_health;
-        health.check.notify_one();
+        health.check_requested.notify_one();
         let regained = health.regained.notified();
         tokio::pin!(regained);
         let pause = RETRY_PAUSE.delay(self.outage.failures, &mut rand::rng());
--- a/crates/dyketally-gateway/src/succession/confirm.rs
+++ b/crates/dyketally-gateway/src/succession/confirm.rs
@@ -22,7 +22,7 @@
 use crate::context::Context;
 use crate::database::Databases;
 use crate::database::batch::Batch;
-use crate::database::claim::ConnectionUse;
+use crate::database::connection_request::ConnectionUse;
 use crate::database::target::Target;
 use crate::fleet::Fleet;
 use crate::ports::OwnStatement;
@@ -192,7 +192,8 @@
             return Confirmation::Unclear(Unclear::Rivalled);
         }
         let position = Some(status.received);
-        self.databases.observe(&target.group, position, sent);
+        self.databases
+            .record_primary_position(&target.group, position, sent);
         Confirmation::Leads
     }
 
@@ -214,12 +215,12 @@
         fence: FenceHandling,
         until: Instant,
     ) -> Result<Confirmation, Unclear> {
-        let work = ConnectionUse::Statements;
-        let connection = self.statements.connect(target, until, work).await;
+        let connection_use = ConnectionUse::Statements;
+        let connection = self.statements.connect(target, until, connection_use).await;
         let mut connection = connection.ok_or(Unclear::NoConnection)?;
         self.cx.counters.confirmations.add();
         let sent = self.cx.now();
-        let batch = Batch::own([OwnStatement::Begin, OwnStatement::Rollback]);
+        let batch = Batch::of_gateway([OwnStatement::Begin, OwnStatement::Rollback]);
         let answers = connection.run(&batch).await.ok_or(Unclear::NoAnswer)?;
         let ended = answers[1].state == TransactionState::Idle;
         if ended {
@@ -234,7 +235,8 @@
                     return Err(Unclear::Rivalled);
                 }
                 let position = answers[0].position;
-                self.databases.observe(&target.group, position, sent);
+                self.databases
+                    .record_primary_position(&target.group, position, sent);
                 Ok(Confirmation::Leads)
             }
             Err(failure) if failure.kind == FailureKind::ReadOnly => Ok(Confirmation::Follows),
--- a/crates/dyketally-gateway/src/succession/coordinator.rs
+++ b/crates/dyketally-gateway/src/succession/coordinator.rs
@@ -72,7 +72,7 @@
         loop {
             tokio::select! {
                 () = self.state().vacant.notified() => {}
-                () = self.parts.cx.stop.entered(StopPhase::Leaving) => return,
+                () = self.parts.cx.stop.wait_for_phase(StopPhase::Leaving) => return,
             }
             if let Some(lease) = self.campaign().await {
                 self.hold_lease(lease).await;
@@ -95,7 +95,7 @@
         if self.state().record().is_some() || self.parts.cx.stop.is_stopping() {
             return None;
         }
-        if self.state().announced().is_some() {
+        if self.state().announced_address().is_some() {
             self.recheck_vacancy_later();
             return None;
         }
@@ -169,7 +169,7 @@
             return;
         };
         if let Some(entry) = entry {
-            self.state().learn(&entry);
+            self.state().record_entry(&entry);
         }
     }
 
@@ -195,7 +195,7 @@
                     Err(_) => next = Instant::now() + RENEWAL_RETRY,
                 },
                 () = self.state().vacant.notified() => self.resign_if_replaced(lease).await,
-                () = self.parts.cx.stop.entered(StopPhase::Leaving) => {
+                () = self.parts.cx.stop.wait_for_phase(StopPhase::Leaving) => {
                     self.resign("the process stops");
                     // Dropped: the process ends, and the lease runs out by itself.
                     let _ = self.parts.store.revoke_lease(lease).await;
@@ -252,7 +252,11 @@
     async fn put_key(&self, condition: Condition, lease: LeaseId) -> Option<u64> {
         let request = TransactionRequest {
             conditions: vec![condition],
-            then: vec![self.parts.keys.put(self.parts.keys.coordinator(), lease)],
+            then: vec![
+                self.parts
+                    .keys
+                    .put_record(self.parts.keys.coordinator(), lease),
+            ],
             otherwise: Vec::new(),
         };
         match self.parts.store.transact(request).await {
--- a/crates/dyketally-gateway/src/succession/fence.rs
+++ b/crates/dyketally-gateway/src/succession/fence.rs
@@ -196,7 +196,10 @@
         let others = self.parts.fleet.membership.possibly_running(own);
         let pending: HashSet<SocketAddr> = others.into_iter().collect();
         let mut round = FenceRound::new(cx.now(), pending.len() + 1);
-        match self.databases.fence(database, id, suspected) {
+        match self
+            .databases
+            .set_fence_unless_answered(database, id, suspected)
+        {
             true => round.confirmed(cx.now()),
             false => round.contested(),
         }
@@ -207,7 +210,7 @@
             suspected,
             round,
             pending,
-            heard: self.peers.heard().into_iter().collect(),
+            heard: self.peers.recently_answered().into_iter().collect(),
             published: None,
         }
     }
@@ -225,7 +228,7 @@
         // The former coordinator's lease has lapsed, so it is isolated unless a node that confirmed has
         // lately sent it a sign of life.
         let lapsed = coordinator
-            .former()
+            .former_address()
             .is_some_and(|former| open.pending.contains(&former) && !open.heard.contains(&former));
         open.round.lapsed(usize::from(lapsed));
         open.round.verdict(self.parts.cx.now())
@@ -245,7 +248,7 @@
     }
 
     fn receive(&self, open: &mut OpenRound, reply: FenceReply) {
-        open.heard.extend(reply.heard);
+        open.heard.extend(reply.recently_answered);
         match reply.contested {
             true => open.round.contested(),
             false if open.pending.remove(&reply.from) => {
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -90,7 +90,7 @@
         self.suspicions.suspect(target);
     }
 
-    fn report(&self, target: &Target) {
+    fn report_lost(&self, target: &Target) {
         self.suspicions.report(target);
     }
 
--- a/crates/dyketally-gateway/src/succession/own_statements.rs
+++ b/crates/dyketally-gateway/src/succession/own_statements.rs
@@ -11,8 +11,8 @@
 use tokio::time::Instant;
 
 use crate::database::batch::Batch;
-use crate::database::claim::{ConnectionRequest, ConnectionUse};
 use crate::database::connection::Answer;
+use crate::database::connection_request::{ConnectionRequest, ConnectionUse};
 use crate::database::pool::GATEWAY_PRIORITY;
 use crate::database::target::Target;
 use crate::fleet::access::DatabaseAccess;
@@ -61,26 +61,26 @@
         Rc::new(Self { access })
     }
 
-    /// Checks out a connection to `target` for `work`; `None` if there is none by `until`.
+    /// Checks out a connection to `target` for `connection_use`; `None` if there is none by `deadline`.
     pub(super) async fn connect(
         &self,
         target: &Target,
-        until: Instant,
-        work: ConnectionUse,
+        deadline: Instant,
+        connection_use: ConnectionUse,
     ) -> Option<OwnConnection> {
-        let claim = ConnectionRequest {
+        let request = ConnectionRequest {
             priority: GATEWAY_PRIORITY,
-            until,
-            patience: Patience {
+            deadline,
+            queue_timeout: Patience {
                 burst: OWN_QUEUE_TIMEOUT,
                 standing: OWN_QUEUE_TIMEOUT,
             },
-            work,
+            connection_use,
             user: None,
             regions: ServingRegions::anywhere(),
         };
         let values = BTreeMap::new();
-        let connection = self.access.connect(target, &values, claim).await.ok()?;
+        let connection = self.access.connect(target, &values, request).await.ok()?;
         Some(OwnConnection {
             access: self.access.clone(),
             target: target.clone(),
@@ -110,7 +110,7 @@
         let protocol = &self.access.databases.connector.protocol;
         loop {
             let mut connection = self.connect(target, until, ConnectionUse::Control).await?;
-            let batch = Batch::own([statement.clone()]);
+            let batch = Batch::of_gateway([statement.clone()]);
             let answers = connection.run(&batch).await?;
             let answer = answers.into_iter().next()?;
             connection.give_back();
--- a/crates/dyketally-gateway/src/succession/poll.rs
+++ b/crates/dyketally-gateway/src/succession/poll.rs
@@ -22,7 +22,7 @@
     pub(super) async fn poll_nodes(&self, primary: &Target, since: Instant) -> Verdict {
         let mut poll = self.peers.poll(&primary.group, &primary.name);
         let mut result = PollResult {
-            nodes: poll.asked + 1,
+            nodes: poll.polled + 1,
             prolonged: since.elapsed() > PROLONGED_AFTER,
             ..PollResult::default()
         };
--- a/crates/dyketally-gateway/src/succession/suspicion.rs
+++ b/crates/dyketally-gateway/src/succession/suspicion.rs
@@ -102,14 +102,14 @@
 
     /// Probes `target` in the background if it is a primary, and reports it for as long as it doesn't answer.
     pub fn suspect(self: &Rc<Self>, target: &Target) {
-        if !self.databases.is_primary(target) || target.state.probed.replace(true) {
+        if !self.databases.is_primary(target) || target.state.probe_running.replace(true) {
             return;
         }
         let suspicions = self.clone();
         let target = target.clone();
         tokio::task::spawn_local(async move {
             suspicions.probe_until_answered(&target).await;
-            target.state.probed.set(false);
+            target.state.probe_running.set(false);
         });
     }
 
@@ -136,7 +136,7 @@
     /// Reports to the coordinator that `target` doesn't answer; to all nodes while no coordinator is known.
     pub fn report(&self, target: &Target) {
         if self.fleet.coordinator.last_term().is_some() {
-            self.record(target.group.clone(), target.name.clone());
+            self.record_suspicion(target.group.clone(), target.name.clone());
             return;
         }
         let message = PeerMessage::Suspect {
@@ -154,7 +154,7 @@
     }
 
     /// Records that a node suspects a primary, for the coordinator to act on.
-    pub fn record(&self, group: GroupName, database: DatabaseName) {
+    pub fn record_suspicion(&self, group: GroupName, database: DatabaseName) {
         let mut suspicions = self.fleet.coordinator.suspicions.borrow_mut();
         suspicions
             .entry((group, database))
--- a/crates/dyketally-gateway/tests/reach.rs
+++ b/crates/dyketally-gateway/tests/reach.rs
@@ -42,7 +42,7 @@
         advance(PAUSE).await;
     }
     assert!(wait::is_unavailable(availability.missing_for()));
-    availability.answered();
+    availability.record_answer();
     assert!(!wait::is_unavailable(availability.missing_for()));
 }
 
--- a/crates/dyketally-gateway/tests/stored_keys.rs
+++ b/crates/dyketally-gateway/tests/stored_keys.rs
@@ -101,7 +101,7 @@
 fn a_node_puts_its_record_as_json() {
     let keys = own_keys();
     for key in [keys.node(), keys.coordinator()] {
-        let put = put(keys.put(key.clone(), LeaseId(3)));
+        let put = put(keys.put_record(key.clone(), LeaseId(3)));
         assert_eq!(put.key, key);
         assert_eq!(put.lease, Some(LeaseId(3)));
         assert_eq!(std::str::from_utf8(&put.value), Ok(RECORD));
--- a/crates/dyketally-gateway/tests/wire/datagrams.rs
+++ b/crates/dyketally-gateway/tests/wire/datagrams.rs
@@ -161,7 +161,7 @@
             PeerMessage::FenceReply {
                 round: 7,
                 contested: true,
-                heard: Vec::new(),
+                recently_answered: Vec::new(),
             },
         ),
         (
@@ -169,7 +169,7 @@
             PeerMessage::FenceReply {
                 round: 7,
                 contested: false,
-                heard: vec![address(), address_v6()],
+                recently_answered: vec![address(), address_v6()],
             },
         ),
         (
--- a/crates/dyketally-gateway/tests/wire/links.rs
+++ b/crates/dyketally-gateway/tests/wire/links.rs
@@ -8,8 +8,8 @@
 use dyketally::policy::Access;
 use dyketally::statement::{Failure, FailureKind, PreparedStatement, TransactionState};
 use dyketally_gateway::database::batch::{Batch, Flow, Reset, SessionContext, Step};
-use dyketally_gateway::database::claim::{ConnectionUse, Refusal};
 use dyketally_gateway::database::connection::Answer;
+use dyketally_gateway::database::connection_request::{ConnectionUse, Refusal};
 use dyketally_gateway::fleet::link::{Call, CallReply, frames};
 use dyketally_gateway::ports::{DatabaseUser, OwnStatement};
 
@@ -23,7 +23,7 @@
 const REPLIES: &str = include_str!("call_replies.txt");
 
 variants! {
-    works, ConnectionUse,
+    uses, ConnectionUse,
     ConnectionUse::Control => "control",
     ConnectionUse::Statements => "statements",
     ConnectionUse::Transaction => "transaction",
@@ -142,7 +142,7 @@
         wait_limit_ms: 1_500,
         burst_ms: 250,
         standing_ms: 40,
-        work: ConnectionUse::Statements,
+        connection_use: ConnectionUse::Statements,
         user: None,
         batch: Cow::Owned(batch),
     }
@@ -150,8 +150,8 @@
 
 fn own(statement: OwnStatement) -> Call<'static> {
     Call {
-        work: ConnectionUse::Control,
-        ..call(Batch::own([statement]))
+        connection_use: ConnectionUse::Control,
+        ..call(Batch::of_gateway([statement]))
     }
 }
 
@@ -192,7 +192,7 @@
             "execute/read",
             Call {
                 user: tenant.clone(),
-                work: ConnectionUse::Transaction,
+                connection_use: ConnectionUse::Transaction,
                 ..call(Batch {
                     context: Some(context(Some(prepared(Access::Read)))),
                     steps: execute_steps(),
@@ -215,7 +215,7 @@
         ),
         (
             "context without a prepared statement",
-            call(Batch::of(context(None), run_steps())),
+            call(Batch::for_session(context(None), run_steps())),
         ),
     ]
 }
@@ -360,7 +360,10 @@
     let calls = calls();
     let calls = || calls.iter().map(|(_, call)| call);
     let all_steps = || calls().flat_map(|call| &call.batch.steps);
-    check_complete(works::ALL, calls().map(|call| works::name(&call.work)));
+    check_complete(
+        uses::ALL,
+        calls().map(|call| uses::name(&call.connection_use)),
+    );
     let users = calls().filter_map(|call| call.user.as_ref());
     check_complete(users::ALL, users.map(users::name));
     check_complete(
