--- a/crates/dyketally-gateway/src/fleet/access.rs
+++ b/crates/dyketally-gateway/src/fleet/access.rs
@@ -102,7 +102,7 @@
             return ConnectionPath::Own;
         }
         let homes = placement.ordered_homes(request.user.as_ref(), &request.regions);
-        let usable = |home: &SocketAddr| !self.fleet.homes.passed_over.contains(home);
+        let usable = |home: &SocketAddr| !self.fleet.homes.exclusions.contains(home);
         match homes.iter().any(usable) {
             true => ConnectionPath::ViaHomes(homes),
             false => ConnectionPath::Own,
--- a/crates/dyketally-gateway/src/fleet/home_probe.rs
+++ b/crates/dyketally-gateway/src/fleet/home_probe.rs
@@ -27,7 +27,7 @@
             if replied {
                 return;
             }
-            access.fleet.homes.passed_over.add(home);
+            access.fleet.homes.exclusions.add(home);
             access.fleet.links.close(home);
             if let Some(target) = access.databases.known_target(&database) {
                 access.databases.report_lost(&target);
--- a/crates/dyketally-gateway/src/fleet/homes.rs
+++ b/crates/dyketally-gateway/src/fleet/homes.rs
@@ -13,7 +13,7 @@
 use crate::database::shares::ConnectionShares;
 use crate::database::slow_start::cold_senders;
 use crate::fleet::Fleet;
-use crate::fleet::passed_over::Exclusions;
+use crate::fleet::exclusions::Exclusions;
 use crate::ports::DatabaseUser;
 
 /// Connections to a database that all nodes together may open if the configuration sets no limit.
@@ -91,7 +91,7 @@
     /// Placements computed from the known nodes and limits, until these change.
     placements: RefCell<HashMap<DatabaseName, Rc<Placement>>>,
     /// Homes that are excluded for a while, since they failed or are stopping.
-    pub passed_over: Exclusions,
+    pub exclusions: Exclusions,
     /// Homes that are being probed because they didn't reply to a call.
     pub(super) being_probed: RefCell<HashSet<SocketAddr>>,
 }
--- a/crates/dyketally-gateway/src/fleet/link/home_call.rs
+++ b/crates/dyketally-gateway/src/fleet/link/home_call.rs
@@ -165,7 +165,7 @@
 
     /// Excludes a home for a while and closes its idle links.
     fn exclude(&self, home: SocketAddr) {
-        self.access.fleet.homes.passed_over.add(home);
+        self.access.fleet.homes.exclusions.add(home);
         self.access.fleet.links.close(home);
     }
 
@@ -173,7 +173,7 @@
     async fn link_to_home(&mut self) -> Result<(SocketAddr, Link), CallError> {
         let homes = self.homes.clone();
         for home in homes.iter() {
-            if self.access.fleet.homes.passed_over.contains(home)
+            if self.access.fleet.homes.exclusions.contains(home)
                 || Instant::now() >= self.request.deadline
             {
                 continue;
--- a/crates/dyketally-gateway/src/fleet/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/mod.rs
@@ -12,6 +12,7 @@
 pub mod access;
 pub mod connection;
 pub mod coordinator;
+pub mod exclusions;
 pub mod forwarding;
 pub mod home;
 mod home_probe;
@@ -21,7 +22,6 @@
 pub mod membership;
 pub mod message;
 pub mod opening;
-pub mod passed_over;
 pub mod peer;
 pub mod traffic;
 
--- a/crates/dyketally-gateway/src/quota/permit_requests.rs
+++ b/crates/dyketally-gateway/src/quota/permit_requests.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 
 use super::Quotas;
+use crate::fleet::exclusions::Exclusions;
 use crate::fleet::message::PeerMessage;
-use crate::fleet::passed_over::Exclusions;
 use crate::fleet::peer::Peers;
 
 /// Maximum number of nodes that are asked for a permit: the accountant and its stand-ins. In a network
