--- a/crates/dyketally-gateway/src/database/eligibility.rs
+++ b/crates/dyketally-gateway/src/database/eligibility.rs
@@ -14,10 +14,14 @@
     ///
     /// # Errors
     /// The reason why the batch may not be sent, which is also counted.
-    pub fn may_send(&self, target: &Target, intent: &Intent) -> Result<Permission, Denial> {
+    pub fn permission_to_send(
+        &self,
+        target: &Target,
+        intent: &Intent,
+    ) -> Result<Permission, Denial> {
         let directory = self.directory.borrow();
         let result = match directory.member(&target.name) {
-            Some(member) => self.judge(member, intent),
+            Some(member) => self.check_eligibility(member, intent),
             None => Err(Denial::Leaving),
         };
         result.inspect_err(|denial| self.cx.counters.denied.add(denial.kind(), 1))
@@ -27,7 +31,11 @@
     ///
     /// # Errors
     /// The reason why it may not be sent.
-    pub fn judge(&self, member: &Member, intent: &Intent) -> Result<Permission, Denial> {
+    pub fn check_eligibility(
+        &self,
+        member: &Member,
+        intent: &Intent,
+    ) -> Result<Permission, Denial> {
         let now = self.cx.now();
         let announcement = &member.announcement;
         let region = self.region_of_zone(&announcement.zone);
@@ -51,7 +59,7 @@
 
     /// The lasting reason why statements of `intent` can't run at any database of `group`: it holds until the
     /// configuration, the evacuated zones or the primary change. `None` if such statements can run now or soon.
-    pub fn denied_for_good(&self, group: &GroupName, intent: &Intent) -> Option<Denial> {
+    pub fn lasting_denial(&self, group: &GroupName, intent: &Intent) -> Option<Denial> {
         if intent.needs_leader {
             let denial = self.primary_target(group, &intent.regions).err();
             return denial.filter(|denial| denial.is_lasting());
@@ -59,7 +67,7 @@
         let directory = self.directory.borrow();
         let mut lasting = None;
         for member in directory.members(group) {
-            match self.judge(member, intent) {
+            match self.check_eligibility(member, intent) {
                 Err(denial) if denial.is_lasting() => lasting = Some(denial),
                 Err(Denial::Evacuated | Denial::Leaving) if !self.may_serve(member) => {}
                 Ok(_) | Err(_) => return None,
--- a/crates/dyketally-gateway/src/database/group.rs
+++ b/crates/dyketally-gateway/src/database/group.rs
@@ -44,7 +44,7 @@
     }
 
     /// Sets how long observations of each group are kept, from the routes in force.
-    pub fn keep_observations(&self) {
+    pub fn update_observation_retention(&self) {
         for (name, group) in self.groups.borrow().iter() {
             let mut observations = group.observations.borrow_mut();
             observations.keep_for(self.observation_retention(name));
@@ -58,12 +58,17 @@
 
     /// Records the log position with which the primary of `group` answered a statement sent at `sent`. Call it
     /// only when that database certainly led the group.
-    pub fn observe(&self, group: &GroupName, position: Option<LogPosition>, sent: Timestamp) {
+    pub fn record_primary_position(
+        &self,
+        group: &GroupName,
+        position: Option<LogPosition>,
+        sent: Timestamp,
+    ) {
         let Some(position) = position else {
             return;
         };
         let group = self.group(group);
-        group.availability.answered();
+        group.availability.record_answer();
         let observation = Observation { position, sent };
         group
             .observations
@@ -74,7 +79,7 @@
 
     /// Time since which the primary of `group` has been known to hold `position`; zero if `position` is
     /// `None`, as it is before it was requested from the primary.
-    pub fn age_of(&self, group: &GroupName, position: Option<LogPosition>) -> Duration {
+    pub fn position_age(&self, group: &GroupName, position: Option<LogPosition>) -> Duration {
         let state = self.group(group);
         let observations = state.observations.borrow();
         position.map_or(Duration::ZERO, |position| {
@@ -83,8 +88,8 @@
     }
 
     /// Updates the lag estimate with a replica of `group` that held or lacked `position`.
-    pub fn replica_showed(&self, group: &GroupName, position: LogPosition, held: bool) {
-        let age = self.age_of(group, Some(position));
+    pub fn record_replica_lag(&self, group: &GroupName, position: LogPosition, held: bool) {
+        let age = self.position_age(group, Some(position));
         let mut lag = self.replica_lag.get();
         lag.record(self.cx.now(), age, held);
         self.replica_lag.set(lag);
--- a/crates/dyketally-gateway/src/fleet/homes.rs
+++ b/crates/dyketally-gateway/src/fleet/homes.rs
@@ -13,7 +13,7 @@
 use crate::database::shares::ConnectionShares;
 use crate::database::slow_start::cold_senders;
 use crate::fleet::Fleet;
-use crate::fleet::passed_over::PassedOver;
+use crate::fleet::exclusions::Exclusions;
 use crate::ports::DatabaseUser;
 
 /// Connections to a database that all nodes together may open if the configuration sets no limit.
@@ -91,7 +91,7 @@
     /// Placements computed from the known nodes and limits, until these change.
     placements: RefCell<HashMap<DatabaseName, Rc<Placement>>>,
     /// Homes that are excluded for a while, since they failed or are stopping.
-    pub passed_over: PassedOver,
+    pub exclusions: Exclusions,
     /// Homes that are being probed because they didn't reply to a call.
     pub(super) being_probed: RefCell<HashSet<SocketAddr>>,
 }
@@ -121,7 +121,7 @@
     /// Number of nodes that share a database's slots: the number of its homes. If every node is a home, the
     /// slots aren't divided (1): most nodes are far from the database and need more requests in flight to
     /// keep a slot busy, and the database's refusals limit each node.
-    fn sharers(&self, database: &DatabaseName) -> usize {
+    fn slot_sharers(&self, database: &DatabaseName) -> usize {
         match self
             .placement_of(database)
             .map(|placement| placement.sharing)
@@ -136,7 +136,7 @@
         self.membership.is_known() && placement().is_some_and(|it| it.may_send_cold)
     }
 
-    fn forget(&self) {
+    fn invalidate(&self) {
         self.homes.forget();
     }
 }
--- a/crates/dyketally-gateway/src/fleet/peer/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/mod.rs
@@ -59,7 +59,7 @@
     /// the round of fences is over.
     pub contested: bool,
     /// Addresses of the nodes to which the replying node has recently sent a sign of life.
-    pub heard: Vec<SocketAddr>,
+    pub recently_answered: Vec<SocketAddr>,
 }
 
 impl Peers {
@@ -96,7 +96,7 @@
     }
 
     /// Addresses of the nodes that may still count a sign of life that this node sent them.
-    pub fn heard(&self) -> Vec<SocketAddr> {
+    pub fn recently_answered(&self) -> Vec<SocketAddr> {
         let mut requesters = self.sign_of_life_requesters.borrow_mut();
         requesters.retain(|_, at| at.elapsed() < SIGN_OF_LIFE_VALIDITY);
         requesters.keys().copied().collect()
@@ -122,9 +122,9 @@
     }
 
     /// Sends a message to all other nodes that may run, whether or not the store lists them.
-    pub fn broadcast_to_electorate(&self, message: &PeerMessage) {
+    pub fn broadcast_to_possibly_running(&self, message: &PeerMessage) {
         let own = &self.access.fleet.cx.settings.node.name;
-        for address in self.access.fleet.membership.electorate(own) {
+        for address in self.access.fleet.membership.possibly_running(own) {
             self.send(address, message);
         }
     }
@@ -132,7 +132,7 @@
     /// True when the node at `address` replies to a datagram within `REACH_ATTEMPTS` times `REACH_TIMEOUT`.
     pub async fn is_reachable(&self, address: SocketAddr) -> bool {
         let mut replies = self.collect_reach_replies();
-        let message = PeerMessage::ReachAsked {
+        let message = PeerMessage::ReachRequest {
             round: replies.round,
         };
         for _ in 0..REACH_ATTEMPTS {
@@ -146,7 +146,7 @@
     }
 
     /// Addresses of the nodes whose heartbeats arrive from now on. Replaces an earlier receiver.
-    pub fn heartbeats(&self) -> mpsc::UnboundedReceiver<SocketAddr> {
+    pub fn subscribe_heartbeats(&self) -> mpsc::UnboundedReceiver<SocketAddr> {
         let (sender, receiver) = mpsc::unbounded_channel();
         *self.heartbeats.borrow_mut() = Some(sender);
         receiver
@@ -167,7 +167,7 @@
         self.permit_rounds.open(self.next_round())
     }
 
-    /// Opens a round that collects replies to [`PeerMessage::ReachAsked`].
+    /// Opens a round that collects replies to [`PeerMessage::ReachRequest`].
     pub fn collect_reach_replies(&self) -> Replies<()> {
         self.reach_rounds.open(self.next_round())
     }
--- a/crates/dyketally-gateway/src/fleet/peer/requests.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/requests.rs
@@ -17,7 +17,7 @@
 #[async_trait(?Send)]
 pub trait PeerRequests {
     /// Called when another node suspects a primary.
-    fn suspected(&self, group: GroupName, database: DatabaseName);
+    fn primary_suspected(&self, group: GroupName, database: DatabaseName);
 
     /// Whether and how a database of `group` answers this node; `None` when this node doesn't know the
     /// database.
@@ -36,7 +36,7 @@
 
     /// Decides in `role` on a request for `wanted` operations of `tenant`; `None` when the tenant has no
     /// quota.
-    fn account(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision>;
+    fn decide_permit(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision>;
 }
 
 impl Peers {
@@ -47,7 +47,7 @@
         message: PeerMessage,
     ) {
         match message {
-            PeerMessage::Suspect { group, database } => requests.suspected(group, database),
+            PeerMessage::Suspect { group, database } => requests.primary_suspected(group, database),
             PeerMessage::Poll {
                 poll,
                 group,
@@ -72,44 +72,45 @@
                 suspected_ms,
             } => {
                 let suspected = Duration::from_millis(suspected_ms.into());
-                let contested = !self.access.databases.fence(&database, id, suspected);
-                let heard = self.heard();
+                let contested = !self
+                    .access
+                    .databases
+                    .set_fence_unless_answered(&database, id, suspected);
+                let recently_answered = self.recently_answered();
                 let reply = PeerMessage::FenceReply {
                     round,
                     contested,
-                    heard,
+                    recently_answered,
                 };
                 self.send(from, &reply);
             }
             PeerMessage::FenceReply {
                 round,
                 contested,
-                heard,
+                recently_answered,
             } => {
                 let reply = FenceReply {
                     from,
                     contested,
-                    heard,
+                    recently_answered,
                 };
                 self.fence_rounds.deliver(round, reply);
             }
-            PeerMessage::LiftFence { database, id } => {
-                self.access.databases.lift_round(&database, id)
+            PeerMessage::ClearFence { database, id } => {
+                self.access.databases.clear_fence_round(&database, id)
             }
-            PeerMessage::SignOfLifeAsked { round } => {
+            PeerMessage::SignOfLifeRequest { round } => {
                 self.sign_of_life_requesters
                     .borrow_mut()
                     .insert(from, Instant::now());
-                let fenced = self.access.databases.standing_fences();
-                self.send(from, &PeerMessage::SignOfLife { round, fenced });
+                let fenced = self.access.databases.active_fences();
+                self.send(from, &PeerMessage::SignOfLifeReply { round, fenced });
             }
-            PeerMessage::SignOfLife { round, fenced } => {
-                self.access
-                    .databases
-                    .heard_of_fences(fenced, "a sign of life");
+            PeerMessage::SignOfLifeReply { round, fenced } => {
+                self.access.databases.merge_fences(fenced, "a sign of life");
                 self.sign_of_life_rounds.deliver(round, from);
             }
-            PeerMessage::ContactAsked { round } => {
+            PeerMessage::ContactRequest { round } => {
                 self.send(from, &requests.grant_reply(round));
             }
             PeerMessage::ContactReply {
@@ -120,47 +121,47 @@
             } => {
                 self.access
                     .databases
-                    .heard_of_fences(fenced, "a reply about contact");
+                    .merge_fences(fenced, "a reply about contact");
                 requests.receive_grant(round, granted_ms, majority_ms);
             }
-            PeerMessage::HeartbeatAsked => self.send(from, &PeerMessage::Heartbeat),
-            PeerMessage::Heartbeat => {
+            PeerMessage::HeartbeatRequest => self.send(from, &PeerMessage::HeartbeatReply),
+            PeerMessage::HeartbeatReply => {
                 if let Some(heartbeats) = self.heartbeats.borrow().as_ref() {
                     // Fails only when the task that counts heartbeats has ended, as the process is stopping.
                     let _ = heartbeats.send(from);
                 }
             }
-            PeerMessage::RelaysAsked { zone } => {
+            PeerMessage::RelaysRequest { zone } => {
                 let relays = requests.relays_for(&zone);
-                self.send(from, &PeerMessage::Relays { relays });
+                self.send(from, &PeerMessage::RelaysReply { relays });
             }
-            PeerMessage::Relays { relays } => self.access.fleet.membership.add_named_relays(relays),
-            PeerMessage::PermitAsked {
+            PeerMessage::RelaysReply { relays } => self.access.fleet.membership.add_relays(relays),
+            PeerMessage::PermitRequest {
                 round,
                 tenant,
                 wanted,
                 role,
             } => {
-                if let Some(decision) = requests.account(&tenant, wanted, role) {
-                    self.send(from, &PeerMessage::PermitDecided { round, decision });
+                if let Some(decision) = requests.decide_permit(&tenant, wanted, role) {
+                    self.send(from, &PeerMessage::PermitReply { round, decision });
                 }
             }
-            PeerMessage::PermitDecided { round, decision } => {
+            PeerMessage::PermitReply { round, decision } => {
                 self.permit_rounds.deliver(round, decision);
             }
-            PeerMessage::ReachAsked { round } => {
+            PeerMessage::ReachRequest { round } => {
                 self.send(from, &PeerMessage::ReachReply { round });
             }
             PeerMessage::ReachReply { round } => self.reach_rounds.deliver(round, ()),
-            PeerMessage::Ends { node } => self.access.fleet.membership.record_ended(&node),
+            PeerMessage::NodeStopping { node } => self.access.fleet.membership.record_ended(&node),
             PeerMessage::CoordinatorAnnounced { record } => {
                 self.access.fleet.coordinator.receive_announcement(record)
             }
-            PeerMessage::Leads { database, .. } => {
+            PeerMessage::NewLeader { database, .. } => {
                 let mut directory = self.access.databases.directory.borrow_mut();
                 directory.acted_as_primary(&database);
                 drop(directory);
-                self.access.databases.lift_fence(&database);
+                self.access.databases.clear_fence(&database);
             }
         }
     }
@@ -174,7 +175,12 @@
         group: GroupName,
         database: DatabaseName,
     ) {
-        self.access.fleet.cx.store_health.check.notify_one();
+        self.access
+            .fleet
+            .cx
+            .store_health
+            .check_requested
+            .notify_one();
         let peers = self.clone();
         let requests = requests.clone();
         tokio::task::spawn_local(async move {
--- a/crates/dyketally-gateway/src/node/exposition.rs
+++ b/crates/dyketally-gateway/src/node/exposition.rs
@@ -63,7 +63,7 @@
         set(
             "dyketally_sessions",
             "Open sessions.",
-            self.gateway.sessions.open(),
+            self.gateway.sessions.open_count(),
         );
         set(
             "dyketally_nodes",
@@ -76,7 +76,7 @@
             "1 while this node replaces primaries.",
             has_duty,
         );
-        let in_touch = usize::from(self.gateway.cx.is_in_touch());
+        let in_touch = usize::from(self.gateway.cx.is_in_contact());
         set(
             "dyketally_in_touch",
             "1 while this node hears of successions.",
--- a/crates/dyketally-gateway/src/node/mod.rs
+++ b/crates/dyketally-gateway/src/node/mod.rs
@@ -35,7 +35,7 @@
 };
 use crate::settings::Settings;
 use crate::store::feed::{self, ask_seeds};
-use crate::store::keys::Keys;
+use crate::store::keys::StoreKeys;
 use crate::store::liveness::Liveness;
 use crate::store::metered_store::StoreCalls;
 use crate::store::parts::StoreParts;
@@ -46,8 +46,8 @@
 use crate::succession::failover::Failover;
 use crate::succession::fence::FenceKeeper;
 
-/// Pause between two calls of [`Gateway::tidy`].
-const TIDY_INTERVAL: Duration = Duration::from_secs(5);
+/// Pause between two calls of [`Gateway::run_periodic_tasks`].
+const PERIODIC_TASKS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The adapters through which the gateway reaches callers, databases, the store and the platform.
 pub struct Adapters {
@@ -97,7 +97,7 @@
     let peers = Peers::new(gateway.access.clone(), socket);
     *gateway.fleet.peers.borrow_mut() = Some(peers.clone());
     let prefix = adapters.documents.own_prefix();
-    let keys = Rc::new(Keys::new(prefix, own_record(&gateway)));
+    let keys = Rc::new(StoreKeys::new(prefix, own_record(&gateway)));
     let parts = StoreParts {
         cx: gateway.cx.clone(),
         fleet: gateway.fleet.clone(),
@@ -144,7 +144,7 @@
     tokio::task::spawn_local(liveness.run());
     let registration_ended = tokio::task::spawn_local(registration.run());
     let coordination_ended = tokio::task::spawn_local(coordinator.run());
-    tokio::task::spawn_local(tidy(gateway.clone()));
+    tokio::task::spawn_local(run_periodic_tasks(gateway.clone()));
     tokio::task::spawn_local(log_unconfirmed(gateway.cx.clone(), gateway.feed.clone()));
     updates::watch_store(&gateway, &parts, &adapters.documents);
     let accepting =
@@ -159,17 +159,17 @@
     }
     let keys_released = futures::future::join(registration_ended, coordination_ended);
     stop::stop(&gateway, keys_released, accepting).await;
-    peers.broadcast(&PeerMessage::Ends {
+    peers.broadcast(&PeerMessage::NodeStopping {
         node: gateway.cx.settings.node.name.clone(),
     });
     Ok(())
 }
 
-/// Calls [`Gateway::tidy`] periodically until the process ends.
-async fn tidy(gateway: Rc<Gateway>) {
+/// Calls [`Gateway::run_periodic_tasks`] periodically until the process ends.
+async fn run_periodic_tasks(gateway: Rc<Gateway>) {
     loop {
-        tokio::time::sleep(TIDY_INTERVAL).await;
-        gateway.tidy();
+        tokio::time::sleep(PERIODIC_TASKS_INTERVAL).await;
+        gateway.run_periodic_tasks();
     }
 }
 
--- a/crates/dyketally-gateway/src/node/nodes_handler.rs
+++ b/crates/dyketally-gateway/src/node/nodes_handler.rs
@@ -8,17 +8,17 @@
 
 use crate::fleet::membership::NodeRecord;
 use crate::gateway::Gateway;
-use crate::store::keys::Keys;
+use crate::store::keys::StoreKeys;
 
 /// Applies updates of the nodes' keys.
 pub(super) struct NodesHandler {
     gateway: Rc<Gateway>,
-    keys: Rc<Keys>,
+    keys: Rc<StoreKeys>,
 }
 
 impl NodesHandler {
     /// A handler that recognizes the keys by `keys` and applies them to `gateway`.
-    pub(super) fn new(gateway: Rc<Gateway>, keys: Rc<Keys>) -> Self {
+    pub(super) fn new(gateway: Rc<Gateway>, keys: Rc<StoreKeys>) -> Self {
         Self { gateway, keys }
     }
 
@@ -39,7 +39,7 @@
             StoreUpdate::Changed(WatchEvent::Put(entry)) => std::slice::from_ref(entry),
             StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => {
                 if let Some(database) = self.keys.fenced(key) {
-                    self.gateway.databases.lift_fence(&database);
+                    self.gateway.databases.clear_fence(&database);
                 }
                 return;
             }
@@ -47,7 +47,7 @@
         let fenced = entries.iter().filter_map(|entry| self.keys.fence_of(entry));
         fenced.for_each(|(database, id)| {
             let databases = &self.gateway.databases;
-            databases.put_up_fence(database, id, "the store");
+            databases.set_fence(database, id, "the store");
         });
     }
 
@@ -58,11 +58,11 @@
             StoreUpdate::All(entries) => {
                 fleet.coordinator.forget_record();
                 let nodes = entries.iter().filter_map(|entry| self.receive_entry(entry));
-                fleet.membership.listed(nodes.collect());
+                fleet.membership.replace_all(nodes.collect());
             }
             StoreUpdate::Changed(WatchEvent::Put(entry)) => {
                 if let Some(node) = self.receive_entry(&entry) {
-                    fleet.membership.joined(node);
+                    fleet.membership.record_joined(node);
                 }
             }
             StoreUpdate::Changed(WatchEvent::Deleted { key, .. }) => self.receive_deletion(&key),
@@ -76,7 +76,7 @@
             return None;
         }
         if entry.key == self.keys.coordinator() {
-            self.gateway.fleet.coordinator.learn(entry);
+            self.gateway.fleet.coordinator.record_entry(entry);
             return None;
         }
         NodeRecord::read(entry)
@@ -90,7 +90,7 @@
             return;
         }
         if let Some(name) = self.keys.node_of(key) {
-            fleet.membership.left(&name);
+            fleet.membership.record_left(&name);
         }
     }
 }
--- a/crates/dyketally-gateway/src/node/stop.rs
+++ b/crates/dyketally-gateway/src/node/stop.rs
@@ -34,7 +34,7 @@
     let end = began + time_to_stop.mul_f64(END_SHARE);
     let transactions_end = began + time_to_stop.mul_f64(TRANSACTIONS_SHARE);
     gateway.cx.events.write(&Event::Stopping {
-        sessions: gateway.sessions.open(),
+        sessions: gateway.sessions.open_count(),
     });
     gateway.cx.stop.enter(StopPhase::Leaving);
     // If the store doesn't answer in time, the leases lapse by themselves and the store removes the keys.
@@ -45,18 +45,18 @@
     wait_for_sessions(gateway, transactions_end).await;
     gateway.cx.stop.enter(StopPhase::EndingTransactions);
     wait_for_sessions(gateway, end).await;
-    gateway.tell_counters();
+    gateway.log_counters();
     gateway.cx.events.write(&Event::Traffic {
         sent_bytes: gateway.fleet.traffic.by_node(),
     });
     gateway.cx.events.write(&Event::Stopped {
-        sessions: gateway.sessions.open(),
+        sessions: gateway.sessions.open_count(),
     });
 }
 
 /// Waits until all sessions and calls from other nodes have ended, or until `until`.
 async fn wait_for_sessions(gateway: &Rc<Gateway>, until: Instant) {
-    while gateway.sessions.open() + gateway.fleet.calls.get() > 0 && Instant::now() < until {
+    while gateway.sessions.open_count() + gateway.fleet.calls.get() > 0 && Instant::now() < until {
         tokio::time::sleep(SESSION_CHECK_INTERVAL).await;
     }
 }
--- a/crates/dyketally-gateway/src/quota/permit_requests.rs
+++ b/crates/dyketally-gateway/src/quota/permit_requests.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 
 use super::Quotas;
+use crate::fleet::exclusions::Exclusions;
 use crate::fleet::message::PeerMessage;
-use crate::fleet::passed_over::PassedOver;
 use crate::fleet::peer::Peers;
 
 /// Maximum number of nodes that are asked for a permit: the accountant and its stand-ins. In a network
@@ -38,7 +38,7 @@
 /// Which nodes answered the requests so far.
 #[derive(Default)]
 pub(super) struct PermitRequests {
-    excluded: PassedOver,
+    excluded: Exclusions,
     /// Number of requests that each node has left unanswered since its last answer.
     missed: RefCell<HashMap<SocketAddr, u32>>,
     /// Number of consecutive requests without an answer from any node.
@@ -92,7 +92,7 @@
         for node in self.accountants(tenant) {
             let asked_as = std::mem::replace(&mut role, Role::StandIn);
             let Some(address) = node else {
-                return self.account(tenant, wanted, asked_as);
+                return self.decide_permit(tenant, wanted, asked_as);
             };
             // The next node is asked only once this one is excluded: two nodes that grant operations of one tenant to
             // the same nodes would grant twice as many.
@@ -135,7 +135,7 @@
     (tenant, wanted, role): (&TenantName, u32, Role),
 ) -> Option<Decision> {
     let mut replies = peers.collect_permits();
-    let request = PeerMessage::PermitAsked {
+    let request = PeerMessage::PermitRequest {
         round: replies.round,
         tenant: tenant.clone(),
         wanted,
--- a/crates/dyketally-gateway/src/statement/transaction/first.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/first.rs
@@ -13,8 +13,8 @@
 use super::Transaction;
 use super::bound::BoundConnection;
 use crate::database::batch::{Batch, Flow, Step};
-use crate::database::claim::Work;
 use crate::database::connection::Answer;
+use crate::database::connection_request::ConnectionUse;
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
 use crate::decision::give_up::{self, Time};
@@ -96,7 +96,7 @@
         let Some(ChosenDatabase { target, check }) = choosing.await else {
             return AttemptOutcome::NotRun(FailureKind::Busy);
         };
-        let checkout = statements.checkout(request, &target, Work::Transaction);
+        let checkout = statements.checkout(request, &target, ConnectionUse::Transaction);
         let mut checkout = match checkout.await {
             Ok(checkout) => checkout,
             Err(kind) => return AttemptOutcome::NotRun(kind),
@@ -125,13 +125,19 @@
         }
         statements.apply_feedback(&target, learn::from_answer(OPERATION, check, target.leads));
         let leads = check == FreshnessCheck::Leads;
-        if leads && !statements.leadership.checks.is_upheld(&target, sent).await {
+        if leads
+            && !statements
+                .leadership
+                .checks
+                .still_leads_since(&target, sent)
+                .await
+        {
             return AttemptOutcome::NotRun(FailureKind::ReadOnly);
         }
         if leads {
             statements
                 .databases
-                .observe(&target.group, begun.position, sent);
+                .record_primary_position(&target.group, begun.position, sent);
         }
         self.bound = Some(BoundConnection {
             checkout,
@@ -141,10 +147,10 @@
         let Some(answer) = answers.next() else {
             return AttemptOutcome::without_all_answers();
         };
-        if leads && answer.end.is_ok() && statements.leadership.checks.surely_leads(&target) {
+        if leads && answer.end.is_ok() && statements.leadership.checks.is_certain_leader(&target) {
             statements
                 .databases
-                .observe(&target.group, answer.position, sent);
+                .record_primary_position(&target.group, answer.position, sent);
         }
         match &answer.end {
             Err(failure) if failure.kind.not_run() => {
@@ -165,7 +171,7 @@
             FreshnessCheck::Leads => OwnStatement::Begin,
         };
         let steps = vec![Step::Own(begin), request.step(None)];
-        let mut batch = Batch::of(request.context(), steps);
+        let mut batch = Batch::for_session(request.context(), steps);
         batch.flow = Flow::UntilFailure;
         batch.reset = self.reset_after_failure();
         batch
--- a/crates/dyketally-gateway/src/store/keys.rs
+++ b/crates/dyketally-gateway/src/store/keys.rs
@@ -17,12 +17,12 @@
 
 /// The keys of one node, and the keys that all nodes share.
 #[derive(Clone, Debug)]
-pub struct Keys {
+pub struct StoreKeys {
     prefix: String,
     record: NodeRecord,
 }
 
-impl Keys {
+impl StoreKeys {
     /// The keys of the node that `record` describes, below `prefix`.
     pub fn new(prefix: String, record: NodeRecord) -> Self {
         Self { prefix, record }
@@ -67,8 +67,8 @@
         Some(DatabaseName::from(database))
     }
 
-    /// The operation that puts the round of a fence under `key`, a key made by [`Keys::fence`], for as long as `lease`
-    /// is held.
+    /// The operation that puts the round of a fence under `key`, a key made by [`StoreKeys::fence`], for as long
+    /// as `lease` is held.
     pub fn put_fence(key: Key, id: FenceId, lease: LeaseId) -> Operation {
         Operation::Put(PutRequest {
             key,
@@ -87,7 +87,7 @@
     }
 
     /// The operation that puts this node's record under `key` for as long as `lease` is held.
-    pub fn put(&self, key: Key, lease: LeaseId) -> Operation {
+    pub fn put_record(&self, key: Key, lease: LeaseId) -> Operation {
         let value = serde_json::to_vec(&self.record);
         let value = value.expect("a record of names, numbers and an address has a JSON form");
         Operation::Put(PutRequest {
--- a/crates/dyketally-gateway/src/store/liveness.rs
+++ b/crates/dyketally-gateway/src/store/liveness.rs
@@ -54,7 +54,7 @@
 
     /// Monitors nodes until the process stops.
     pub async fn run(self) {
-        let mut heartbeats = self.peers.heartbeats();
+        let mut heartbeats = self.peers.subscribe_heartbeats();
         let mut next = Instant::now() + HEARTBEAT_INTERVAL;
         loop {
             tokio::select! {
@@ -96,7 +96,8 @@
         last_replies.retain(|address, _| monitored.iter().any(|node| node.address == *address));
         for node in monitored {
             last_replies.entry(node.address).or_insert(now);
-            self.peers.send(node.address, &PeerMessage::HeartbeatAsked);
+            self.peers
+                .send(node.address, &PeerMessage::HeartbeatRequest);
         }
     }
 
--- a/crates/dyketally-gateway/src/succession/mod.rs
+++ b/crates/dyketally-gateway/src/succession/mod.rs
@@ -90,11 +90,11 @@
         self.suspicions.suspect(target);
     }
 
-    fn report(&self, target: &Target) {
+    fn report_lost(&self, target: &Target) {
         self.suspicions.report(target);
     }
 
-    fn look_at_primaries(&self) {
+    fn check_primaries(&self) {
         self.fleet.coordinator.attention.notify_one();
     }
 }
