--- a/crates/dyketally/src/failover/appointments.rs
+++ b/crates/dyketally/src/failover/appointments.rs
@@ -1,32 +1,34 @@
-//! Which fencing token an appointment may carry.
+//! Decides which fencing token may be used to appoint a database as the primary of its group.
 //!
-//! An appointment without an answer may be carried out late, behind newer ones. The appointing
-//! service refuses tokens smaller than one it has seen for the group. So one token must never
-//! appoint two databases of a group: the late call could otherwise unseat the later choice.
+//! An appointment call that got no answer may take effect late, after newer calls. The service that
+//! appoints primaries refuses a token smaller than the greatest one it has seen for the group. One token
+//! must therefore never appoint two databases of a group: a delayed call could otherwise replace the
+//! database that was appointed later.
 
 use std::collections::HashMap;
 
 use crate::identifiers::{DatabaseName, GroupName};
 
-/// What to do about the token before an appointment.
+/// Whether the current token may be used for an appointment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenUse {
     /// The token may be used.
     Use,
-    /// A greater token is needed first.
+    /// A greater token has to be obtained first.
     Renew,
 }
 
-/// The last appointment in each group.
+/// The last appointment in each group, as made by this node.
 #[derive(Clone, Debug, Default)]
 pub struct Appointments {
+    /// Token and appointed database of the last appointment.
     last: HashMap<GroupName, (u64, DatabaseName)>,
-    /// The greatest token that was refused.
+    /// The greatest token that the service has refused.
     refused: Option<u64>,
 }
 
 impl Appointments {
-    /// Whether `token` may appoint `database`.
+    /// Whether `token` may be used to appoint `database` in `group`.
     pub fn token_use(&self, group: &GroupName, database: &DatabaseName, token: u64) -> TokenUse {
         if self.refused.is_some_and(|refused| token <= refused) {
             return TokenUse::Renew;
@@ -42,17 +44,17 @@
         }
     }
 
-    /// The database of `group` that was appointed last.
+    /// The database that was last appointed in `group`.
     pub fn last(&self, group: &GroupName) -> Option<&DatabaseName> {
         self.last.get(group).map(|(_, appointed)| appointed)
     }
 
-    /// Records that the service refused `token`: somebody may hold a greater one.
+    /// Records that the service refused `token`: another coordinator may hold a greater one.
     pub fn refused(&mut self, token: u64) {
         self.refused = self.refused.max(Some(token));
     }
 
-    /// Records that `database` is being appointed with `token`.
+    /// Records that an appointment of `database` with `token` is about to be sent.
     pub fn appointing(&mut self, group: &GroupName, database: &DatabaseName, token: u64) {
         self.last.insert(group.clone(), (token, database.clone()));
     }
--- a/crates/dyketally/src/failover/contact.rs
+++ b/crates/dyketally/src/failover/contact.rs
@@ -1,56 +1,63 @@
-//! Whether a node would have learned by now that a primary is being replaced.
+//! Tracks whether a node is in contact: whether it would know by now that a primary is being replaced.
 //!
 //! The failover coordinator announces a replacement to all nodes and to the store. A node that has
-//! lately had a reply from the store, or from more than half of the nodes, has received the
-//! announcement. A node without either is isolated: before it trusts a primary, it has to check that no
-//! other database leads.
+//! recently had a reply from the store, or from more than half of the nodes, has received the
+//! announcement: it has the *long contact*. A node with neither reply is isolated: before it trusts a
+//! primary, it has to check that no other database leads.
 //!
-//! Beside this long contact each node needs a short one. Without it, a coordinator would have to wait
-//! until the long contact of nodes that were lost together with a primary has ended. The coordinator
-//! grants the short contact with each reply, and each reply lists the fences that stand. While there is
-//! no coordinator, replies of more than half of the nodes count as a grant. A node trusts a primary
-//! without a check only while it has both.
+//! Each node also needs a *short contact*. Without it, a coordinator would have to wait until the long
+//! contact of nodes that failed together with a primary has expired. Nodes request the short contact from
+//! the coordinator, directly or through a relay; each reply grants it and lists the fences in force. While there is no coordinator,
+//! replies of more than half of the nodes count as a grant. A node trusts a primary without a check only
+//! while it has both contacts.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// How long one contact with the store holds.
+/// How long a node has the long contact after a request that the store replied to.
 pub const STORE_HOLDS: Duration = Duration::from_millis(2_900);
-/// How long one contact with more than half of the nodes holds.
-pub const MAJORITY_HOLDS: Duration = Duration::from_millis(900);
-/// How long a short contact holds: four or five rounds of [`GRANT_INTERVAL`], of which three may be lost
-/// between zones that are 40 ms apart and back.
+/// How long a node has the long contact after a request that more than half of the nodes replied to.
+pub const MAJORITY_CONTACT_DURATION: Duration = Duration::from_millis(900);
+/// How long a node has the short contact after a request that was granted. That is four or five rounds of
+/// [`GRANT_INTERVAL`]; three of them may be lost between zones that are 40 ms apart there and back.
 pub const SHORT_HOLDS: Duration = Duration::from_millis(500);
-/// Pause between two times that a node asks for the short contact.
+/// Interval at which a node requests the short contact.
 pub const GRANT_INTERVAL: Duration = Duration::from_millis(100);
-/// Age of the short contact from which on a node looks for it elsewhere: two rounds were lost.
-pub const GRANT_LATE: Duration = Duration::from_millis(250);
-/// How long a node that was isolated may take to receive what it missed, once replies arrive again.
+/// Age of the last granted request from which a node requests the short contact from further nodes, not only
+/// from its usual source. At this age two rounds of [`GRANT_INTERVAL`] have been lost.
+pub const GRANT_LATE_AFTER: Duration = Duration::from_millis(250);
+/// Time that a node which was isolated is given to receive the announcements it missed, from the first request
+/// that is replied to again.
 const CATCH_UP: Duration = Duration::from_secs(3);
-/// Age of the contact with the store from which on the other nodes are asked.
-const ASK_NODES_AFTER: Duration = Duration::from_millis(2_300);
-/// Pause between two rounds of asking them.
-const ASK_NODES_INTERVAL: Duration = Duration::from_millis(350);
-/// The same while no coordinator grants the short contact, which then rests on their replies.
-const ASK_NODES_INTERVAL_WITHOUT_GRANTS: Duration = Duration::from_millis(200);
-
-/// When a node last had replies. All times are those of the questions, not of the replies.
+/// Age of the last request that the store replied to from which the other nodes are polled.
+const POLL_NODES_AFTER: Duration = Duration::from_millis(2_300);
+/// Interval between two polls of the other nodes while a coordinator grants the short contact.
+const POLL_NODES_INTERVAL: Duration = Duration::from_millis(350);
+/// Interval between two polls of the other nodes while no coordinator grants the short contact: the short
+/// contact then depends on the nodes' replies.
+const POLL_NODES_INTERVAL_WITHOUT_GRANTS: Duration = Duration::from_millis(200);
+
+/// When a node was last in contact with the store, the other nodes and the coordinator. All times are those
+/// at which the requests were sent, not those at which the replies arrived.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Contact {
+    /// The last request that the store replied to.
     store: Option<Timestamp>,
+    /// The last poll that more than half of the nodes replied to.
     majority: Option<Timestamp>,
+    /// The last request for the short contact that the coordinator granted.
     granted: Option<Timestamp>,
-    /// When the store replied again after a silence that was too long.
+    /// The first request that the store replied to after a gap of [`STORE_HOLDS`] or more.
     store_regained: Option<Timestamp>,
-    /// When replies arrived again after the node had been isolated.
+    /// The first request that was replied to after the node had been isolated.
     regained: Option<Timestamp>,
 }
 
 impl Contact {
-    /// Records that the store replied to what was asked at `asked`.
+    /// Records that the store replied to a request sent at `asked`.
     pub fn store_replied(&mut self, asked: Timestamp) {
-        self.replied(asked);
+        self.note_reply(asked);
         let lapsed = |at| asked.saturating_since(at) >= STORE_HOLDS;
         if self.store.is_some_and(lapsed) {
             self.store_regained = Some(asked);
@@ -58,40 +65,41 @@
         self.store = self.store.max(Some(asked));
     }
 
-    /// The time up to which the node knows what the store held; `None` when that is too long ago, or the
-    /// node is still receiving what it missed.
+    /// The time as of which the node knows the contents of the store; `None` when that is [`STORE_HOLDS`] ago or
+    /// longer, or while the node is still receiving what it missed during a gap.
     pub fn heard_store(&self, now: Timestamp) -> Option<Timestamp> {
         let within =
             |at: Option<Timestamp>, time| at.is_some_and(|at| now.saturating_since(at) < time);
-        let hears = within(self.store, STORE_HOLDS) && !within(self.store_regained, CATCH_UP);
-        self.store.filter(|_| hears)
+        let is_in_contact =
+            within(self.store, STORE_HOLDS) && !within(self.store_regained, CATCH_UP);
+        self.store.filter(|_| is_in_contact)
     }
 
-    /// Records that the node has given back its leases: replies of the store don't count from now on.
+    /// Records that the node has released its leases: earlier replies of the store no longer count as contact.
     pub fn store_given_up(&mut self) {
         if self.store.is_some() {
             self.store = Some(Timestamp::ZERO);
         }
     }
 
-    /// Records that more than half of the nodes replied to what was asked at `asked`.
+    /// Records that more than half of the nodes replied to a poll sent at `asked`.
     pub fn majority_replied(&mut self, asked: Timestamp) {
-        self.replied(asked);
+        self.note_reply(asked);
         self.majority = self.majority.max(Some(asked));
     }
 
-    /// Records that the coordinator granted the short contact that was asked for at `asked`.
+    /// Records that the coordinator granted a request for the short contact sent at `asked`.
     pub fn granted(&mut self, asked: Timestamp) {
         self.granted = self.granted.max(Some(asked));
     }
 
-    fn replied(&mut self, asked: Timestamp) {
-        if self.was_ever_made() && !self.holds(asked) {
+    fn note_reply(&mut self, asked: Timestamp) {
+        if self.was_ever_in_contact() && !self.holds(asked) {
             self.regained = Some(asked);
         }
     }
 
-    fn was_ever_made(&self) -> bool {
+    fn was_ever_in_contact(&self) -> bool {
         self.store.is_some() || self.majority.is_some()
     }
 
@@ -99,10 +107,10 @@
         let within = |contact: Option<Timestamp>, holds| {
             contact.is_some_and(|at| now.saturating_since(at) < holds)
         };
-        within(self.store, STORE_HOLDS) || within(self.majority, MAJORITY_HOLDS)
+        within(self.store, STORE_HOLDS) || within(self.majority, MAJORITY_CONTACT_DURATION)
     }
 
-    fn is_short_held(&self, now: Timestamp) -> bool {
+    fn has_short_contact(&self, now: Timestamp) -> bool {
         let short = self.granted.max(self.majority);
         short.is_some_and(|asked| now.saturating_since(asked) < SHORT_HOLDS)
     }
@@ -112,53 +120,57 @@
             .is_some_and(|at| now.saturating_since(at) < CATCH_UP)
     }
 
-    /// True when the node would know of a primary that is being replaced. Without any reply so far it
-    /// wouldn't: what it knows may be out of date.
+    /// True when the node would know of a primary that is being replaced: it has both the long and the short
+    /// contact. False before the first reply, since what the node knows may be out of date.
     pub fn is_held(&self, now: Timestamp) -> bool {
-        self.is_long_held(now) && self.is_short_held(now)
+        self.is_long_held(now) && self.has_short_contact(now)
     }
 
-    /// True while the long contact holds and the node has caught up.
+    /// True while the node has the long contact and has received the announcements that it missed.
     pub fn is_long_held(&self, now: Timestamp) -> bool {
         self.holds(now) && !self.is_catching_up(now)
     }
 
-    /// How long ago the short contact was asked for that was granted last; `None` while none was.
+    /// Time since the last request for the short contact that was granted; `None` before the first grant.
     pub fn granted_age(&self, now: Timestamp) -> Option<Duration> {
         self.granted.map(|asked| now.saturating_since(asked))
     }
 
-    /// True when the short contact should be looked for elsewhere than where it was asked for.
+    /// True when the last grant is so old that the node should request the short contact from further nodes, not
+    /// only from its usual source.
     pub fn is_grant_late(&self, now: Timestamp) -> bool {
-        self.granted_age(now).is_none_or(|age| age >= GRANT_LATE)
+        self.granted_age(now)
+            .is_none_or(|age| age >= GRANT_LATE_AFTER)
     }
 
-    /// How long ago the store was asked that replied last; `None` while it never did.
+    /// Time since the last request that the store replied to; `None` before its first reply.
     pub fn store_age(&self, now: Timestamp) -> Option<Duration> {
         self.store.map(|asked| now.saturating_since(asked))
     }
 
-    /// How long ago the nodes were asked more than half of which replied last; `None` while they
-    /// never did.
+    /// Time since the last poll that more than half of the nodes replied to; `None` before the first one.
     pub fn majority_age(&self, now: Timestamp) -> Option<Duration> {
         self.majority.map(|asked| now.saturating_since(asked))
     }
 
-    /// When the other nodes should be asked next; `None` while the store was never reached.
+    /// When the other nodes should be polled next, given the time of the last poll; `None` before the store's
+    /// first reply.
     pub fn ask_nodes_at(&self, last_asked: Option<Timestamp>) -> Option<Timestamp> {
-        let store_late = self.store? + ASK_NODES_AFTER;
+        let store_late = self.store? + POLL_NODES_AFTER;
         let after =
             |due: Timestamp, interval| last_asked.map_or(due, |asked| due.max(asked + interval));
-        let grant_late = self.granted.map_or(Timestamp::ZERO, |at| at + GRANT_LATE);
-        let without_grants = after(grant_late, ASK_NODES_INTERVAL_WITHOUT_GRANTS);
-        Some(after(store_late, ASK_NODES_INTERVAL).min(without_grants))
+        let grant_late = self
+            .granted
+            .map_or(Timestamp::ZERO, |at| at + GRANT_LATE_AFTER);
+        let without_grants = after(grant_late, POLL_NODES_INTERVAL_WITHOUT_GRANTS);
+        Some(after(store_late, POLL_NODES_INTERVAL).min(without_grants))
     }
 }
 
-/// True when `replied` other nodes and the asking one are more than half of `nodes`.
+/// True when `replied` other nodes and the polling node together are more than half of `nodes`.
 pub fn is_majority(replied: usize, nodes: usize) -> bool {
     (replied + 1) * 2 > nodes
 }
 
-const _: () = assert!(GRANT_INTERVAL.as_millis() < GRANT_LATE.as_millis());
-const _: () = assert!(GRANT_LATE.as_millis() < SHORT_HOLDS.as_millis());
+const _: () = assert!(GRANT_INTERVAL.as_millis() < GRANT_LATE_AFTER.as_millis());
+const _: () = assert!(GRANT_LATE_AFTER.as_millis() < SHORT_HOLDS.as_millis());
--- a/crates/dyketally/src/failover/fence.rs
+++ b/crates/dyketally/src/failover/fence.rs
@@ -1,68 +1,74 @@
-//! When a fence around a primary is closed, so that a successor may be appointed.
+//! Decides when a fence around a primary is closed, so that a successor may be appointed.
 //!
-//! A node that confirms a fence no longer takes the primary for the leader of its group. A node
-//! that can't be reached may still use it, until it learns of the fence from the store or from another
-//! node, or finds by its [`Contact`](super::Contact) that it is isolated. So a successor may be appointed
-//! at once when all nodes confirm; when some don't, only once those are surely isolated. That is the
-//! case once nothing renews their short contact: each grant of the coordinator lists the fence, and so
-//! do the replies of half of the nodes once half of them have confirmed. The store has to hold the
-//! fence by then, for nodes whose short contact is renewed later.
+//! A node that confirms a fence no longer treats the primary as the leader of its group. An unreachable
+//! node may still use the primary, until it receives the fence from the store or from another node, or
+//! finds from its [`Contact`](super::Contact) that it is isolated. A successor may therefore be appointed
+//! at once when all nodes confirm. When some don't confirm, it may be appointed only once those are
+//! certain to be isolated. They are isolated once their short contact has expired without being renewed by
+//! a reply that lists the fence: each grant of the coordinator lists it, and once half of the nodes have
+//! confirmed, any majority of replies contains one that lists it. The store has to hold the fence by
+//! then, for nodes whose short contact is renewed later.
 
 use std::time::Duration;
 
 use super::contact::{SHORT_HOLDS, STORE_HOLDS};
 use crate::time::Timestamp;
 
-/// Allowed for clocks that run at different rates, and for messages under way.
+/// Margin for clocks that run at different rates and for messages in transit.
 const MARGIN: Duration = Duration::from_millis(300);
 /// Once the store has held a fence for this long, a node that missed it has no contact with the store.
 const STORE_ISOLATES: Duration = STORE_HOLDS.saturating_add(MARGIN);
-/// Allowed for clocks that run at different rates over the short contact: 30% of it.
+/// Margin for clocks that run at different rates during a short contact: 30% of its duration.
 const SHORT_MARGIN: Duration = Duration::from_millis(150);
-/// Once the coordinator has had a fence, and half of the nodes have confirmed it, for this long, a node
-/// that missed it has no short contact.
+/// Once the coordinator's own fence has been in force for this long, and half of the nodes have confirmed it
+/// for this long, a node that missed the fence has no short contact.
 const SHORT_ISOLATES: Duration = SHORT_HOLDS.saturating_add(SHORT_MARGIN);
-/// How long a new coordinator grants no short contact. A fence of the former coordinator may have closed
-/// because short contacts had ended; a node that missed this fence may learn of it from nobody else, and
-/// must not regain its short contact before its long contact has ended, too.
+/// Time for which a new coordinator grants no short contact. A fence of the former coordinator may have closed
+/// because short contacts had expired. A node that missed this fence may receive it from no other node, so it
+/// must not regain the short contact before its long contact has expired, too.
 pub const GRANTS_SETTLE: Duration = STORE_ISOLATES;
-/// How long nodes that don't confirm are asked while too few confirm or the store doesn't hold the fence.
+/// Time after which the round fails while fewer than half of the nodes have confirmed or the store doesn't hold
+/// the fence. Until then the remaining nodes are asked to confirm.
 const GIVE_UP: Duration = Duration::from_secs(4);
 
-/// What follows for the fence.
+/// The state of a fence round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceVerdict {
-    /// No node uses the primary any more.
+    /// No node uses the primary any more: a successor may be appointed.
     Closed,
-    /// Some nodes didn't confirm and may still use it: ask them again.
+    /// Some nodes have not confirmed and may still use the primary: send them the fence again.
     Open,
-    /// Some node reaches the primary.
+    /// At least one node reaches the primary.
     Contested,
-    /// The nodes that didn't confirm can't be taken for isolated.
+    /// The round has failed: the nodes that didn't confirm can't be assumed to be isolated.
     NoQuorum,
 }
 
-/// A fence that is being put up.
+/// One round of setting a fence around a primary at all nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FenceRound {
+    /// Number of nodes that may use the primary, the coordinator included.
     nodes: usize,
+    /// Number of nodes that have confirmed the fence.
     confirmed: usize,
-    /// Nodes that didn't confirm and are known to be isolated.
+    /// Number of nodes that have not confirmed and are known to be isolated.
     lapsed: usize,
+    /// True once a node has reached the primary.
     contested: bool,
     /// True once the coordinator's lease may have ended: the store may no longer hold the fence, and
     /// another coordinator may grant the short contact.
     lease_broken: bool,
+    /// When the coordinator set its own fence.
     began: Timestamp,
-    /// Since when half of the nodes have confirmed.
+    /// When half of the nodes had confirmed.
     quorum: Option<Timestamp>,
-    /// Since when the store holds the fence.
+    /// Since when the store has held the fence.
     published: Option<Timestamp>,
 }
 
 impl FenceRound {
-    /// Begins at `now`, when the coordinator has put up the fence itself. `nodes` may use the primary,
-    /// the coordinator included.
+    /// Begins a round at `now`, when the coordinator has set its own fence. `nodes` is the number of nodes
+    /// that may use the primary, the coordinator included.
     pub fn new(now: Timestamp, nodes: usize) -> Self {
         Self {
             nodes,
@@ -76,7 +82,7 @@
         }
     }
 
-    /// Records that one more node no longer uses the primary.
+    /// Records that one more node has confirmed that it no longer uses the primary.
     pub fn confirmed(&mut self, now: Timestamp) {
         self.confirmed += 1;
         if self.confirmed * 2 >= self.nodes {
@@ -84,15 +90,15 @@
         }
     }
 
-    /// Records how many of the nodes that didn't confirm are isolated already: the lease has lapsed
-    /// whose renewals alone give them contact with the store, and no node that confirmed has lately
-    /// answered them.
+    /// Records how many of the nodes that have not confirmed are isolated already. A node is isolated when its
+    /// lease has expired, since only renewals of the lease give it contact with the store, and when no node
+    /// that confirmed has recently answered it.
     pub fn lapsed(&mut self, nodes: usize) {
         self.lapsed = nodes;
     }
 
-    /// Records that the coordinator's lease may have ended: for the rest of the round only nodes that
-    /// confirm count.
+    /// Records that the coordinator's lease may have ended: the round can then close only when all nodes
+    /// confirm.
     pub fn lease_broken(&mut self) {
         self.lease_broken = true;
         self.published = None;
@@ -103,14 +109,14 @@
         self.contested = true;
     }
 
-    /// Records that the store holds the fence, where nodes with contact to it read it.
+    /// Records that the store holds the fence, from where nodes in contact with the store read it.
     pub fn published(&mut self, now: Timestamp) {
         if !self.lease_broken {
             self.published.get_or_insert(now);
         }
     }
 
-    /// What follows at `now`.
+    /// The state of the round at `now`.
     pub fn verdict(&self, now: Timestamp) -> FenceVerdict {
         if self.contested {
             return FenceVerdict::Contested;
@@ -118,18 +124,18 @@
         if self.confirmed >= self.nodes {
             return FenceVerdict::Closed;
         }
-        let lasted = |since: Option<Timestamp>, time| {
+        let has_lasted = |since: Option<Timestamp>, time| {
             since.is_some_and(|since| now.saturating_since(since) >= time)
         };
-        let pending = self.published.is_some() && self.quorum.is_some();
-        if pending && self.confirmed + self.lapsed >= self.nodes {
+        let may_assume_isolated = self.published.is_some() && self.quorum.is_some();
+        if may_assume_isolated && self.confirmed + self.lapsed >= self.nodes {
             return FenceVerdict::Closed;
         }
-        let grants_ended = lasted(Some(self.began), SHORT_ISOLATES);
-        if pending && grants_ended && lasted(self.quorum, SHORT_ISOLATES) {
+        let grants_ended = has_lasted(Some(self.began), SHORT_ISOLATES);
+        if may_assume_isolated && grants_ended && has_lasted(self.quorum, SHORT_ISOLATES) {
             return FenceVerdict::Closed;
         }
-        match !pending && lasted(Some(self.began), GIVE_UP) {
+        match !may_assume_isolated && has_lasted(Some(self.began), GIVE_UP) {
             true => FenceVerdict::NoQuorum,
             false => FenceVerdict::Open,
         }
--- a/crates/dyketally/src/failover/fences.rs
+++ b/crates/dyketally/src/failover/fences.rs
@@ -1,4 +1,4 @@
-//! The databases that one node doesn't take for leaders.
+//! The fences of one node: the databases that it does not treat as leaders because they are being replaced.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,112 +8,118 @@
 use crate::identifiers::DatabaseName;
 use crate::time::Timestamp;
 
-/// How long a fence stands that is never lifted.
+/// Time after which a fence that is never cleared expires.
 pub const FENCE_HOLDS: Duration = Duration::from_secs(8);
 
-/// One round of fences around a database; its number is drawn at random as it begins.
+/// Identifies one round of fences around a database. The number is chosen at random when the round begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FenceId(pub u64);
 
 /// A fence as one node sends it to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StandingFence {
-    /// The database.
+    /// The fenced database.
     pub database: DatabaseName,
-    /// The round.
+    /// The round that set the fence.
     pub id: FenceId,
-    /// How long ago it was put up, here or at the node that sent it.
+    /// Time since the fence was set, at this node or at the node that sent it.
     pub age: Duration,
 }
 
-/// Fences by the time at which they were put up first, here or at the node that sent them.
+/// The fences of one node, with the time at which each was first set, at this node or at the sender.
 ///
-/// Nodes exchange their fences, so a lifted one must not come back from a node that hasn't learned of
-/// it yet. A received fence counts only if its round wasn't lifted here and it was put up after the last
-/// fence around the database was lifted; it never makes a fence last longer. Times alone don't suffice:
-/// a node that is farther away puts a fence up later than a nearer one lifts it.
+/// Nodes exchange their fences, so a fence that was cleared here must not be set again by a node that hasn't
+/// received the clearing yet. A received fence counts only if its round wasn't cleared here and if it was set
+/// after the last fence around the database was cleared; repeated copies never extend a fence. Comparing times
+/// is not enough: a distant node may set a fence later than a nearer node clears it.
 #[derive(Clone, Debug, Default)]
 pub struct Fences {
-    standing: HashMap<DatabaseName, (FenceId, Timestamp)>,
-    lifted: HashMap<DatabaseName, Timestamp>,
-    /// When a fence was lifted that stood around a database, since that leads anew.
-    led_anew: HashMap<DatabaseName, Timestamp>,
-    lifted_rounds: HashMap<FenceId, Timestamp>,
+    /// Round and start of the last fence around each database; may have expired.
+    active: HashMap<DatabaseName, (FenceId, Timestamp)>,
+    /// When a database was last found to lead, which clears its fence.
+    cleared: HashMap<DatabaseName, Timestamp>,
+    /// When a database that was fenced was last found to lead.
+    regained_lead: HashMap<DatabaseName, Timestamp>,
+    /// When each round was cleared.
+    cleared_rounds: HashMap<FenceId, Timestamp>,
 }
 
 impl Fences {
-    /// Puts up a fence at `now`; false when its round was lifted before it reached this node.
+    /// Sets a fence at `now`; false when its round was cleared before it reached this node.
     pub fn put_up(&mut self, now: Timestamp, database: DatabaseName, id: FenceId) -> bool {
         let is_recent = |at: &Timestamp| now.saturating_since(*at) < FENCE_HOLDS;
-        self.standing.retain(|_, (_, began)| is_recent(began));
-        self.lifted.retain(|_, lifted| is_recent(lifted));
-        self.lifted_rounds.retain(|_, lifted| is_recent(lifted));
-        if self.lifted_rounds.contains_key(&id) {
+        self.active.retain(|_, (_, began)| is_recent(began));
+        self.cleared.retain(|_, cleared| is_recent(cleared));
+        self.cleared_rounds.retain(|_, cleared| is_recent(cleared));
+        if self.cleared_rounds.contains_key(&id) {
             return false;
         }
-        self.standing.insert(database, (id, now));
+        self.active.insert(database, (id, now));
         true
     }
 
-    /// Records that another node has a fence.
+    /// Adopts a fence received from another node, unless it was cleared here or a fence as recent is known.
     pub fn heard(&mut self, now: Timestamp, fence: StandingFence) {
         let began = now - fence.age;
-        let lifted = self.lifted.get(&fence.database);
-        let is_old = lifted.is_some_and(|lifted| *lifted >= began);
-        if is_old || self.lifted_rounds.contains_key(&fence.id) {
+        let cleared = self.cleared.get(&fence.database);
+        let is_old = cleared.is_some_and(|cleared| *cleared >= began);
+        if is_old || self.cleared_rounds.contains_key(&fence.id) {
             return;
         }
-        let heard = (fence.id, began);
-        let known = self.standing.entry(fence.database).or_insert(heard);
+        let received = (fence.id, began);
+        let known = self.active.entry(fence.database).or_insert(received);
         if began > known.1 {
-            *known = heard;
+            *known = received;
         }
     }
 
-    /// Lifts a fence: the database leads.
+    /// Clears the fence around a database because the database leads.
     pub fn lift(&mut self, now: Timestamp, database: &DatabaseName) {
-        if let Some((id, _)) = self.standing.remove(database) {
-            self.lifted_rounds.insert(id, now);
-            self.led_anew.insert(database.clone(), now);
+        if let Some((id, _)) = self.active.remove(database) {
+            self.cleared_rounds.insert(id, now);
+            self.regained_lead.insert(database.clone(), now);
         }
-        self.lifted.insert(database.clone(), now);
+        self.cleared.insert(database.clone(), now);
     }
 
-    /// Lifts the fence of one round, which may come late or again: the database isn't replaced, unless
-    /// a later round is under way.
+    /// Clears the fence of one round because that round replaces no database. A fence of a later round around
+    /// the database stays. Late and repeated calls are harmless.
     pub fn lift_round(&mut self, now: Timestamp, database: &DatabaseName, id: FenceId) {
         if self
-            .standing
+            .active
             .get(database)
-            .is_some_and(|(standing, _)| *standing == id)
+            .is_some_and(|(active, _)| *active == id)
         {
-            self.standing.remove(database);
+            self.active.remove(database);
         }
-        self.lifted_rounds.insert(id, now);
+        self.cleared_rounds.insert(id, now);
     }
 
-    /// True when a database has been replaced and leads anew since `sent`: an answer to what was sent then
-    /// may be one of its former lead, whose end may be missing from the log that it has now.
+    /// True when a fenced database has regained the lead at or after `sent`. An answer to a request sent then
+    /// may stem from the database's earlier lead, and the last entries of that lead may be missing from its
+    /// current log.
     pub fn led_anew_since(&self, sent: Timestamp, database: &DatabaseName) -> bool {
-        self.led_anew.get(database).is_some_and(|at| *at >= sent)
+        self.regained_lead
+            .get(database)
+            .is_some_and(|at| *at >= sent)
     }
 
-    /// The round of the fence around a database, if one stands.
+    /// The round of the fence around a database, if one is in force.
     pub fn round(&self, now: Timestamp, database: &DatabaseName) -> Option<FenceId> {
-        let standing = self.standing.get(database);
-        let standing = standing.filter(|_| self.holds(now, database));
-        standing.map(|(id, _)| *id)
+        let fence = self.active.get(database);
+        let fence = fence.filter(|_| self.holds(now, database));
+        fence.map(|(id, _)| *id)
     }
 
-    /// True while a database mustn't be taken for a leader.
+    /// True while a fence is in force around the database: it must not be treated as a leader.
     pub fn holds(&self, now: Timestamp, database: &DatabaseName) -> bool {
-        let standing = self.standing.get(database);
-        standing.is_some_and(|(_, began)| now.saturating_since(*began) < FENCE_HOLDS)
+        let fence = self.active.get(database);
+        fence.is_some_and(|(_, began)| now.saturating_since(*began) < FENCE_HOLDS)
     }
 
-    /// The fences that stand.
+    /// The fences in force.
     pub fn standing(&self, now: Timestamp) -> Vec<StandingFence> {
-        let standing = self.standing.iter().map(|(database, (id, began))| {
+        let fences = self.active.iter().map(|(database, (id, began))| {
             let age = now.saturating_since(*began);
             StandingFence {
                 database: database.clone(),
@@ -121,6 +127,6 @@
                 age,
             }
         });
-        standing.filter(|fence| fence.age < FENCE_HOLDS).collect()
+        fences.filter(|fence| fence.age < FENCE_HOLDS).collect()
     }
 }
--- a/crates/dyketally/src/failover/successor.rs
+++ b/crates/dyketally/src/failover/successor.rs
@@ -1,44 +1,48 @@
-//! The choice of the database that takes over.
+//! Chooses the database that takes over from a lost primary.
 
 use crate::group::LogPosition;
 use crate::identifiers::DatabaseName;
 
-/// A database that could take over.
+/// A database that could take over as the primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The database.
+    /// Name of the database.
     pub name: DatabaseName,
-    /// The end of the log it has received; `None` when it didn't tell.
+    /// End of the log that the database has received; `None` when it did not report one.
     pub received: Option<LogPosition>,
-    /// True when it takes new work and isn't leaving.
+    /// True when the database accepts new statements and isn't leaving.
     pub ready: bool,
-    /// True when it bears little load, since it has just started.
+    /// True when the database has just started and can take only little load, see [`crate::slow_start`].
     pub cold: bool,
-    /// Distance in the order of preference, smaller first, for equal logs.
+    /// Tie-break between equal logs: the candidate with the smaller value is preferred.
     pub preference: u32,
 }
 
-/// What the choice came to.
+/// The result of choosing a successor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Succession {
-    /// This database takes over.
+    /// The named database takes over.
     Promote(DatabaseName),
-    /// An acknowledged commit could be missing from every log that is known: ask again.
+    /// Too few candidates have reported their log; an acknowledged commit could be missing from all of the
+    /// known logs. Query the candidates again.
     TooFewLogs {
-        /// Logs known.
+        /// Number of logs known.
         known: usize,
-        /// Logs needed.
+        /// Number of logs needed.
         needed: usize,
     },
-    /// No database could take over.
+    /// No candidate may take over.
     NoCandidate,
 }
 
-/// Chooses the ready candidate with the longest log; of several, one that is warm, then the nearest.
+/// Chooses the candidate with the longest log. Among equal logs, a ready candidate is preferred, then a
+/// warm one, then the one with the smallest `preference`.
 ///
-/// `replicas` counts all replicas of the group, also those that can't be asked. With
-/// `acknowledging` replicas that must have received a commit before it is acknowledged, so many
-/// logs have to be known that one of them holds every acknowledged commit.
+/// `replicas` is the number of all replicas of the group, unreachable ones included. `acknowledging` is the
+/// number of replicas that must have received a commit before it is acknowledged. If it is 0, one known log
+/// is enough and only ready candidates are eligible. Otherwise enough logs have to be known that at least
+/// one holds every acknowledged commit, and a candidate with the longest log is eligible even when it isn't
+/// ready.
 pub fn choose_successor(
     candidates: &[Candidate],
     replicas: usize,
@@ -76,8 +80,8 @@
     }
 }
 
-/// Leaves only the warm ones of `candidates`, if there are any: where the successor's log is waited for,
-/// any of them will do.
+/// Removes the cold candidates if there is at least one warm one. For use where the successor's log is
+/// waited for: there any candidate is suitable.
 pub fn keep_warm(candidates: &mut Vec<Candidate>) {
     if candidates.iter().any(|candidate| !candidate.cold) {
         candidates.retain(|candidate| !candidate.cold);
--- a/crates/dyketally/src/failover/verdict.rs
+++ b/crates/dyketally/src/failover/verdict.rs
@@ -1,50 +1,53 @@
-//! Whether a primary is lost, judged from what several nodes see of it.
+//! Decides whether a primary is lost, from the results of several nodes that tried to reach it.
 
-/// What one node sees of a primary when it tries to reach it.
+/// The result of one node's attempt to reach a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Evidence {
-    /// It answered.
+    /// The primary answered.
     Answered,
-    /// Its address refuses connections: the process is gone.
+    /// The primary's address refuses connections: the process has ended.
     Refused,
-    /// Nothing came back in time.
+    /// The primary did not answer before the timeout.
     Silent,
 }
 
-/// The nodes' evidence so far.
+/// The evidence that one poll of the nodes has collected so far.
 #[derive(Clone, Debug, Default)]
 pub struct PollResult {
-    /// Nodes that run, this one included.
+    /// Number of running nodes, the polling node included.
     pub nodes: usize,
-    /// What those that replied have seen, this node's own evidence included.
+    /// Evidence of the nodes that replied, the polling node's own included.
     pub evidence: Vec<Evidence>,
-    /// How many of them have lost the store.
+    /// Number of nodes with evidence that have lost contact with the store.
     pub store_lost: usize,
-    /// True when the judging node's lease on the duty surely runs.
+    /// True when the polling node's lease on the coordinator's duty is certain to be valid.
     pub lease_runs: bool,
-    /// True when no further reply is waited for.
+    /// True when the poll waits for no further replies.
     pub complete: bool,
-    /// True when the suspicion has lasted so long that nodes which don't reply are taken for dead.
+    /// True when the primary has been suspected for so long that nodes which don't reply are treated as dead.
     pub prolonged: bool,
 }
 
-/// What follows from the evidence.
+/// The decision about a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Some node reaches it: no failover.
+    /// At least one node reaches the primary: no failover.
     Alive,
-    /// Enough nodes fail to reach it and none does.
+    /// Enough nodes fail to reach the primary and none reaches it.
     Lost,
-    /// Not enough nodes have replied.
+    /// Not enough nodes have replied, or the polling node may not act now: poll again.
     Undecided,
 }
 
-/// Nodes that must agree once a suspicion is prolonged.
+/// Upper bound on the number of nodes that must agree once a suspicion is prolonged.
 const PROLONGED_QUORUM: usize = 2;
 
-/// Judges the evidence. Without a lease that runs, the judging node may act only while a majority
-/// of the nodes has lost the store: nobody else can then have taken the duty. A node that reaches the primary always settles it; without one, half of
-/// the nodes must fail to, so that a node cut off with few others never acts.
+/// Decides from the evidence whether the primary is lost.
+///
+/// If any node reaches the primary, it is alive. Otherwise at least half of the nodes must fail to reach
+/// it, so that a node which is cut off with few others never starts a failover; once the suspicion is
+/// prolonged, two nodes are enough. Without a valid lease, the polling node may act only while a majority
+/// of the nodes has lost the store: no other node can then have taken the coordinator's duty.
 pub fn judge(poll: &PollResult) -> Verdict {
     if poll.evidence.contains(&Evidence::Answered) {
         return Verdict::Alive;
@@ -54,8 +57,8 @@
         true => majority.min(PROLONGED_QUORUM),
         false => majority,
     };
-    let unchallenged = poll.lease_runs || poll.store_lost * 2 > poll.nodes;
-    if !unchallenged {
+    let may_act = poll.lease_runs || poll.store_lost * 2 > poll.nodes;
+    if !may_act {
         return Verdict::Undecided;
     }
     let all = poll.evidence.len() >= poll.nodes;
