--- a/crates/dyketally/src/admission/average.rs
+++ b/crates/dyketally/src/admission/average.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-/// Weight of the newest sample is one part in this many.
+/// A new sample has the weight 1/`SMOOTHING` in the average.
 const SMOOTHING: u32 = 8;
 
-/// A moving average in which each new sample counts for an eighth.
+/// An exponentially weighted moving average, with the weight 1/[`SMOOTHING`] for each new sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct MovingAverage {
     value: Option<Duration>,
 }
 
 impl MovingAverage {
-    /// Adds a sample; the first one is taken as it is.
+    /// Adds a sample. The first sample becomes the average.
     pub(super) fn record(&mut self, sample: Duration) {
         let value = match self.value {
             None => sample,
@@ -27,10 +27,10 @@
     }
 }
 
-/// Mean deviations above the average that few samples exceed, as for retransmission timers.
+/// Number of mean deviations above the average at which the upper bound lies, as in TCP retransmission timers.
 const DEVIATIONS: u32 = 4;
 
-/// Average of a duration that varies, with a bound that few samples exceed.
+/// The average of a varying duration, and an upper bound that few samples exceed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Estimate {
     average: MovingAverage,
--- a/crates/dyketally/src/admission/drain_rate.rs
+++ b/crates/dyketally/src/admission/drain_rate.rs
@@ -1,4 +1,4 @@
-//! How fast a tenant's queue drains, and the time to come back that follows from it.
+//! Measures how fast a tenant's queue drains, and derives the retry-after time that callers are given.
 
 use std::time::Duration;
 
@@ -7,48 +7,48 @@
 use super::average::MovingAverage;
 use crate::time::Timestamp;
 
-/// Shortest time to come back that a caller is told.
+/// Shortest retry-after time that a caller is given.
 const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(5);
-/// Longest time to come back that a caller is told.
+/// Longest retry-after time that a caller is given.
 const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(10);
-/// Least and greatest factor of the jitter.
+/// Range of the random factor by which a retry-after time is multiplied.
 const JITTER: std::ops::Range<f64> = 0.75..1.25;
 
-/// Average time between two admissions of a tenant while others of its statements wait.
+/// Measures the average time between two admissions of a tenant's statements while others of them wait.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DrainRate {
     interval: MovingAverage,
-    /// Start of the interval that is being measured; `None` while nothing waits.
+    /// Start of the interval in progress; `None` while no statement waits.
     measured_from: Option<Timestamp>,
 }
 
 impl DrainRate {
-    /// A statement began to wait.
-    pub(super) fn waiting(&mut self, now: Timestamp) {
+    /// Records that a statement began to wait.
+    pub(super) fn record_waiting(&mut self, now: Timestamp) {
         self.measured_from.get_or_insert(now);
     }
 
-    /// A statement was admitted; `more` says whether others still wait.
-    pub(super) fn admitted(&mut self, now: Timestamp, more: bool) {
+    /// Records that a statement was admitted; `more` says whether others still wait.
+    pub(super) fn record_admission(&mut self, now: Timestamp, more: bool) {
         if let Some(start) = self.measured_from {
             self.interval.record(now.saturating_since(start));
         }
         self.measured_from = more.then_some(now);
     }
 
-    /// The last waiting statement left without being admitted.
-    pub(super) fn emptied(&mut self) {
+    /// Discards the interval in progress: the last waiting statement has left the queue.
+    pub(super) fn stop_measuring(&mut self) {
         self.measured_from = None;
     }
 
-    /// Average time between two admissions, as measured so far.
+    /// Average time between two admissions, without the interval in progress; `None` before the first admission.
     pub(super) fn average(&self) -> Option<Duration> {
         self.interval.value()
     }
 
-    /// Average time between two admissions. An interval in progress counts once it is longer
-    /// than the average, so that a stall shows at once.
-    pub(super) fn interval(&self, now: Timestamp) -> Option<Duration> {
+    /// Average time between two admissions, or the length of the interval in progress if that is longer, so
+    /// that a stall takes effect at once; `None` before anything has been measured.
+    pub(super) fn current_interval(&self, now: Timestamp) -> Option<Duration> {
         let in_progress = self
             .measured_from
             .map(|start| now.saturating_since(start))
@@ -61,7 +61,8 @@
     }
 }
 
-/// Time until `waiting` statements have been admitted at `interval`, with jitter and bounds.
+/// Retry-after time: the time until `waiting` statements have been admitted, one per `interval`, with jitter,
+/// between [`SHORTEST_RETRY_AFTER`] and [`LONGEST_RETRY_AFTER`].
 pub(super) fn retry_after(interval: Duration, waiting: usize, random: &mut impl Rng) -> Duration {
     let waiting = u32::try_from(waiting).unwrap_or(u32::MAX).max(1);
     let time_to_drain = interval.saturating_mul(waiting).min(LONGEST_RETRY_AFTER);
--- a/crates/dyketally/src/admission/gate.rs
+++ b/crates/dyketally/src/admission/gate.rs
@@ -1,5 +1,5 @@
-//! The gate in front of one database: how many statements are in flight, who waits, and for how long
-//! a newcomer would.
+//! The gate in front of one database: counts the statements in flight and the waiting ones, and estimates how
+//! long a new statement would wait.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,101 +8,105 @@
 use super::in_flight::InFlightLimit;
 use crate::time::Timestamp;
 
-/// Bounds of the time after which a statement without an answer no longer counts as in flight, and
-/// that time before anything was measured.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(60);
-const LONGEST_SILENCE: Duration = Duration::from_millis(400);
-const SILENCE_ASSUMED: Duration = Duration::from_millis(200);
+/// Least time after which a statement without an answer no longer counts as in flight.
+const MIN_ANSWER_LOST_AFTER: Duration = Duration::from_millis(60);
+/// Greatest time after which a statement without an answer no longer counts as in flight.
+const MAX_ANSWER_LOST_AFTER: Duration = Duration::from_millis(400);
+/// Time after which a statement without an answer no longer counts as in flight, before the first answer has
+/// been measured.
+const DEFAULT_ANSWER_LOST_AFTER: Duration = Duration::from_millis(200);
 
-/// A queue that hasn't been empty for so long stands: it no longer evens out a burst.
-const STANDING: Duration = Duration::from_secs(1);
+/// A queue that hasn't been empty for this long is a standing queue: it no longer absorbs a burst.
+const STANDING_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a statement may wait for its turn.
+/// Queue timeouts of a statement: how long it may wait before it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Patience {
-    /// While the queue evens out a burst, so that waiting gets the statement served.
+    /// Timeout while the queue absorbs a burst, so that a statement that waits is likely to run.
     pub burst: Duration,
-    /// While the queue stands: all who wait would then wait as long as they may.
+    /// Timeout while the queue is a standing queue: every statement would then wait until its timeout.
     pub standing: Duration,
 }
 
-/// Rank among those who wait; smaller goes first.
+/// Rank among the waiting statements; the smaller one goes first.
 pub type Rank = u32;
 
-/// Counts what is in flight at a database and who waits for it, and estimates waits from the rate at
-/// which statements finish. Whoever holds the connections also keeps the waiters themselves.
+/// Counts the statements in flight at a database and the waiting ones by rank, and estimates the time to wait
+/// from the rate at which statements finish. The waiting statements themselves are kept by the owner of the
+/// connections.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     limit: InFlightLimit,
     in_flight: u32,
     waiting: BTreeMap<Rank, u32>,
-    /// Since when someone has waited at any time.
+    /// Since when at least one statement has been waiting without interruption.
     waited_since: Option<Timestamp>,
-    /// Time between two statements that finish while others wait.
-    interval: MovingAverage,
-    finished: Option<Timestamp>,
-    /// Time that statements which were answered took.
-    answered_in: Estimate,
+    /// Average time between the ends of two statements while others wait.
+    finish_interval: MovingAverage,
+    /// When the last statement ended, if others waited then.
+    last_finished: Option<Timestamp>,
+    /// Time from sending a statement to its answer.
+    answer_time: Estimate,
 }
 
 impl Gate {
-    /// Limits a database of `slots` slots that `holders` nodes keep connections to.
+    /// Sets this node's share of a database with `slots` slots, to which `holders` nodes keep connections.
     pub fn share_out(&mut self, slots: u32, holders: usize) {
         self.limit.share_out(slots, holders);
     }
 
-    /// True when one more statement may begin.
+    /// True when one more statement may be sent to the database.
     pub fn admits(&self) -> bool {
         self.limit.admits(self.in_flight)
     }
 
-    /// Records that a statement begins.
+    /// Records that a statement is sent to the database.
     pub fn begins(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Records that a statement ended, however it did.
+    /// Records that a statement ended, with or without an answer.
     pub fn ended(&mut self, now: Timestamp) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let waited = !self.waiting.is_empty();
-        if let Some(former) = self.finished
+        if let Some(former) = self.last_finished
             && waited
         {
-            self.interval.record(now.saturating_since(former));
+            self.finish_interval.record(now.saturating_since(former));
         }
-        self.finished = waited.then_some(now);
+        self.last_finished = waited.then_some(now);
     }
 
     /// Records that the database ran a statement and took `elapsed` to answer it.
     pub fn ran(&mut self, elapsed: Duration) {
         self.limit.ran();
-        self.answered_in.record(elapsed);
+        self.answer_time.record(elapsed);
     }
 
-    /// After this time a statement without an answer no longer counts as in flight: its answer is
-    /// probably lost, and the database has a slot free.
+    /// Time after which a statement without an answer no longer counts as in flight: the answer is probably
+    /// lost, and the slot at the database is free.
     pub fn silence(&self) -> Duration {
-        match self.answered_in.average() {
-            None => SILENCE_ASSUMED,
+        match self.answer_time.average() {
+            None => DEFAULT_ANSWER_LOST_AFTER,
             Some(_) => self
-                .answered_in
+                .answer_time
                 .upper()
-                .clamp(SHORTEST_SILENCE, LONGEST_SILENCE),
+                .clamp(MIN_ANSWER_LOST_AFTER, MAX_ANSWER_LOST_AFTER),
         }
     }
 
-    /// Records that the database turned a statement away.
+    /// Records that the database rejected a statement.
     pub fn turned_away(&mut self, now: Timestamp) {
         self.limit.turned_away(now);
     }
 
-    /// Records that someone waits.
+    /// Records that a statement of `rank` begins to wait.
     pub fn waits(&mut self, now: Timestamp, rank: Rank) {
         self.waited_since.get_or_insert(now);
         *self.waiting.entry(rank).or_default() += 1;
     }
 
-    /// Records that someone no longer waits.
+    /// Records that a statement of `rank` no longer waits.
     pub fn waits_no_more(&mut self, rank: Rank) {
         if let Some(count) = self.waiting.get_mut(&rank) {
             *count -= 1;
@@ -115,20 +119,20 @@
         }
     }
 
-    /// How long someone with `patience` may wait now.
+    /// How long a statement with the timeouts `patience` may wait at `now`.
     pub fn patience(&self, now: Timestamp, patience: Patience) -> Duration {
-        let stands = self
+        let is_standing = self
             .waited_since
-            .is_some_and(|since| now.saturating_since(since) >= STANDING);
-        match stands {
+            .is_some_and(|since| now.saturating_since(since) >= STANDING_AFTER);
+        match is_standing {
             true => patience.standing,
             false => patience.burst,
         }
     }
 
-    /// How long someone of `rank` who comes now would wait; `None` before anything was measured.
+    /// How long a new statement of `rank` would wait; `None` before the first measurement.
     pub fn expected_wait(&self, rank: Rank) -> Option<Duration> {
         let ahead: u32 = self.waiting.range(..=rank).map(|(_, count)| count).sum();
-        Some(self.interval.value()? * (ahead + 1))
+        Some(self.finish_interval.value()? * (ahead + 1))
     }
 }
--- a/crates/dyketally/src/admission/mod.rs
+++ b/crates/dyketally/src/admission/mod.rs
@@ -4,8 +4,11 @@
 //! statements that wait for a slot and decides which tenant gets the next free one: the tenant
 //! with the least *busy slot time* divided by its weight. Statements are charged while they run,
 //! so a tenant with few long statements gets no more than a tenant with many short ones. A tenant
-//! that was idle starts level with the others: it owes nothing for slots that it used while nobody
-//! waited, and has saved up [`SAVED_SLOT_TIME`] at the most.
+//! that was idle starts level with the others: slots that it used while no statement waited are not
+//! charged against it, and its credit for idle time is limited to [`SAVED_SLOT_TIME`].
+//!
+//! [`Gate`] is for a node that shares a database with other nodes: it limits the statements that the node has
+//! in flight at the database, and estimates how long a new one would wait.
 
 mod average;
 mod drain_rate;
--- a/crates/dyketally/src/admission/queue.rs
+++ b/crates/dyketally/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue of one database.
+//! The fair queue for the slots of one database.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,7 +16,7 @@
 use crate::identifiers::TenantName;
 use crate::time::Timestamp;
 
-/// Where a waiting statement is.
+/// Where a waiting statement is queued, by its ticket.
 #[derive(Debug)]
 struct Location {
     tenant: TenantName,
@@ -24,25 +24,28 @@
     latest_start: Timestamp,
 }
 
-/// The statements that wait for one of a database's slots, and those that hold one.
+/// The statements that wait for one of a database's slots, and the statements that hold one.
 ///
 /// Each statement that [`enqueue`](Self::enqueue) accepts leaves in exactly one of three ways:
-/// from [`next`](Self::next) with a slot, from [`expire`](Self::expire) when it can't end in time, or from
-/// [`withdraw`](Self::withdraw).
+/// through [`next`](Self::next) with a slot, through [`expire`](Self::expire) when it can no longer be expected
+/// to end before its deadline, or through [`withdraw`](Self::withdraw).
 #[derive(Debug)]
 pub struct FairQueue<T> {
     slots: u32,
     tenants: BTreeMap<TenantName, Tenant<T>>,
     schedule: Schedule,
     locations: BTreeMap<Ticket, Location>,
+    /// The waiting statements in the order in which they expire.
     latest_starts: BTreeSet<(Timestamp, Ticket)>,
+    /// Number of waiting statements of [`Stage::Fresh`].
     queued_fresh: usize,
     next_ticket: u64,
+    /// Reports of the end of a statement that held no slot.
     unknown_finished: u64,
 }
 
 impl<T> FairQueue<T> {
-    /// A queue without statements, for a database that runs `slots` statements at one time.
+    /// Creates an empty queue for a database that runs up to `slots` statements at a time.
     pub fn new(slots: u32) -> Self {
         FairQueue {
             slots,
@@ -56,13 +59,13 @@
         }
     }
 
-    /// Changes the number of slots. Statements that hold a slot keep it; with fewer slots than
-    /// those, none is admitted until enough have finished. No slots pause the queue.
+    /// Changes the number of slots. Statements that hold a slot keep it. If more statements run than
+    /// there are slots now, none is admitted until enough have finished. With 0 slots the queue is paused.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots;
     }
 
-    /// Queues a statement, or turns it away at once with the time to come back.
+    /// Queues a statement, or rejects it at once with the time after which to retry.
     pub fn enqueue(
         &mut self,
         now: Timestamp,
@@ -80,24 +83,24 @@
             ticket: Ticket(self.next_ticket),
         };
         let latest_start = tenant.latest_start(now, submission.deadline);
-        if let Some(reason) = refusal(now, tenant, &submission, rank, latest_start) {
+        if let Some(reason) = rejection_reason(now, tenant, &submission, rank, latest_start) {
             tenant.counters.rejected += 1;
             return Err(Rejected {
                 reason,
-                retry_after: time_to_come_back(now, tenant, random),
+                retry_after: tenant_retry_after(now, tenant, random),
                 item: submission.item,
             });
         }
         Ok(self.accept(now, submission, rank, latest_start))
     }
 
-    /// Gives a free slot to the statement whose turn it is. Call until it yields `None`.
+    /// Gives a free slot to the next statement. To be called until it returns `None`.
     pub fn next(&mut self, now: Timestamp) -> Option<Admitted<T>> {
         self.next_eligible(now, |_, _| true)
     }
 
-    /// As [`next`](Self::next), but passes over statements that can't run now, such as fresh ones
-    /// of a tenant that can't have another connection. They keep their turn.
+    /// As [`next`](Self::next), but skips statements that `eligible` excludes by their tenant and stage, such
+    /// as fresh ones of a tenant that can't have another connection. Skipped statements keep their place.
     pub fn next_eligible(
         &mut self,
         now: Timestamp,
@@ -111,19 +114,19 @@
         self.admit(now, ticket)
     }
 
-    /// Takes the slot of an admitted statement back. False when `ticket` holds none.
+    /// Frees the slot of an admitted statement that has finished. False when `ticket` holds no slot.
     pub fn finished(&mut self, now: Timestamp, ticket: Ticket) -> bool {
         let Some(finished) = self.schedule.finish(now, ticket) else {
             self.unknown_finished += 1;
             return false;
         };
         if let Some(tenant) = self.tenants.get_mut(&finished.tenant) {
-            tenant.finished(finished.busy);
+            tenant.record_finished(finished.busy);
         }
         true
     }
 
-    /// Gives up on the statements that can no longer be expected to end in time.
+    /// Removes the statements that can no longer be expected to end before their deadline.
     pub fn expire(&mut self, now: Timestamp, random: &mut impl Rng) -> Vec<Expired<T>> {
         let mut expired = Vec::new();
         while let Some((latest_start, ticket)) = self.latest_starts.first().copied() {
@@ -135,16 +138,15 @@
         expired
     }
 
-    /// When [`expire`](Self::expire) gives up on this statement. `None` when it doesn't wait any
-    /// more.
+    /// When [`expire`](Self::expire) removes the statement; `None` when it is no longer in the queue.
     pub fn latest_start(&self, ticket: Ticket) -> Option<Timestamp> {
         let location = self.locations.get(&ticket)?;
         Some(location.latest_start)
     }
 
-    /// Takes a waiting statement out. `None` when it doesn't wait any more.
+    /// Removes a waiting statement at its owner's request; `None` when it is no longer in the queue.
     pub fn withdraw(&mut self, ticket: Ticket) -> Option<Withdrawn<T>> {
-        let (location, waiting) = self.take(ticket)?;
+        let (location, waiting) = self.remove(ticket)?;
         if let Some(tenant) = self.tenants.get_mut(&location.tenant) {
             tenant.counters.withdrawn += 1;
         }
@@ -155,7 +157,7 @@
         })
     }
 
-    /// Drops what is remembered of idle tenants that `keep` doesn't name.
+    /// Removes the records of idle tenants for which `keep` returns false.
     pub fn retain_tenants(&mut self, keep: impl Fn(&TenantName) -> bool) {
         let schedule = &mut self.schedule;
         self.tenants.retain(|name, tenant| {
@@ -167,28 +169,28 @@
         });
     }
 
-    /// Slots that no statement holds.
+    /// Number of slots that no statement holds.
     pub fn free_slots(&self) -> u32 {
         let running = u32::try_from(self.schedule.running()).unwrap_or(u32::MAX);
         self.slots.saturating_sub(running)
     }
 
-    /// Statements that wait.
+    /// Number of waiting statements.
     pub fn queued(&self) -> usize {
         self.locations.len()
     }
 
-    /// Fresh statements of all tenants that wait for a slot and will need a connection.
+    /// Number of waiting statements, of all tenants, that will need a connection ([`Stage::Fresh`]).
     pub fn queued_fresh(&self) -> usize {
         self.queued_fresh
     }
 
-    /// Statements that hold a slot.
+    /// Number of statements that hold a slot.
     pub fn running(&self) -> usize {
         self.schedule.running()
     }
 
-    /// The queue as operators see it.
+    /// The queue's status for operators.
     pub fn status(&self) -> QueueStatus {
         let tenants = self.tenants.iter();
         QueueStatus {
@@ -252,8 +254,10 @@
         self.schedule.start(now, &name, ticket, tenant.estimate());
         tenant.running += 1;
         tenant.counters.admitted += 1;
-        tenant.drain_rate.admitted(now, tenant.waiting_count() > 1);
-        let (location, waiting) = self.take(ticket)?;
+        tenant
+            .drain_rate
+            .record_admission(now, tenant.waiting_count() > 1);
+        let (location, waiting) = self.remove(ticket)?;
         Some(Admitted {
             ticket,
             tenant: location.tenant,
@@ -269,34 +273,34 @@
         ticket: Ticket,
         random: &mut impl Rng,
     ) -> Option<Expired<T>> {
-        let (location, waiting) = self.take(ticket)?;
+        let (location, waiting) = self.remove(ticket)?;
         let tenant = self.tenants.get_mut(&location.tenant)?;
         tenant.counters.expired += 1;
         Some(Expired {
             ticket,
-            retry_after: time_to_come_back(now, tenant, random),
+            retry_after: tenant_retry_after(now, tenant, random),
             tenant: location.tenant,
             item: waiting.item,
         })
     }
 
     /// Removes a waiting statement from every index.
-    fn take(&mut self, ticket: Ticket) -> Option<(Location, Waiting<T>)> {
+    fn remove(&mut self, ticket: Ticket) -> Option<(Location, Waiting<T>)> {
         let location = self.locations.remove(&ticket)?;
         self.latest_starts.remove(&(location.latest_start, ticket));
         let tenant = self.tenants.get_mut(&location.tenant)?;
         let waiting = tenant.remove(location.rank)?;
         self.queued_fresh -= usize::from(location.rank.stage == Stage::Fresh);
         if !tenant.has_waiting() {
-            tenant.drain_rate.emptied();
+            tenant.drain_rate.stop_measuring();
             self.schedule.end_waiting(&location.tenant);
         }
         Some((location, waiting))
     }
 }
 
-/// Why `submission` can't be queued, if it can't.
-fn refusal<T>(
+/// The reason to reject `submission`; `None` when it can be queued.
+fn rejection_reason<T>(
     now: Timestamp,
     tenant: &Tenant<T>,
     submission: &Submission<T>,
@@ -316,9 +320,10 @@
     too_long.then_some(RejectionReason::WaitTooLong)
 }
 
-/// Time until the tenant's queue as it is now has drained.
-fn time_to_come_back<T>(now: Timestamp, tenant: &Tenant<T>, random: &mut impl Rng) -> Duration {
-    let interval = tenant.drain_rate.interval(now);
+/// Time after which a rejected or expired statement should be retried: until the tenant's current queue has
+/// drained, with jitter.
+fn tenant_retry_after<T>(now: Timestamp, tenant: &Tenant<T>, random: &mut impl Rng) -> Duration {
+    let interval = tenant.drain_rate.current_interval(now);
     let interval = interval.unwrap_or_else(|| tenant.estimate());
     retry_after(interval, tenant.waiting_count(), random)
 }
--- a/crates/dyketally/src/admission/schedule.rs
+++ b/crates/dyketally/src/admission/schedule.rs
@@ -1,4 +1,7 @@
-//! Busy slot time by tenant, and the order in which tenants get slots.
+//! Accounts for busy slot time by tenant, and derives the order in which tenants get slots.
+//!
+//! This is weighted fair queueing by virtual time: each tenant's virtual time advances by the slot time of
+//! its statements divided by the tenant's weight, and the waiting tenant with the least virtual time is next.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,24 +10,24 @@
 use crate::identifiers::TenantName;
 use crate::time::Timestamp;
 
-/// Units of virtual time in one microsecond of slot time at weight 1.
+/// Units of virtual time per microsecond of slot time at weight 1.
 const UNITS_PER_MICROSECOND: u64 = 1 << 10;
 
-/// Slot time, at weight 1, by which a tenant that begins to wait may be behind the others. It lets
-/// the few statements that a tenant within its share happens to send together pass those of
-/// tenants beyond their share, and is all that idle time can be saved up to.
+/// Greatest credit of slot time, at weight 1, with which a tenant begins to wait. The credit lets a small
+/// burst of statements from a tenant within its share go ahead of statements of tenants beyond their share.
+/// Idle time earns no more credit than this.
 pub const SAVED_SLOT_TIME: Duration = Duration::from_millis(50);
 
-/// Slot time divided by weight. The tenant with the least is served next.
+/// Slot time divided by weight. The waiting tenant with the least virtual time gets the next slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct VirtualTime(u64);
 
 impl VirtualTime {
-    fn more(self, slot_time: Duration, weight: u32) -> Self {
+    fn plus(self, slot_time: Duration, weight: u32) -> Self {
         VirtualTime(self.0.saturating_add(Self::of(slot_time, weight).0))
     }
 
-    fn less(self, slot_time: Duration, weight: u32) -> Self {
+    fn minus(self, slot_time: Duration, weight: u32) -> Self {
         VirtualTime(self.0.saturating_sub(Self::of(slot_time, weight).0))
     }
 
@@ -34,93 +37,96 @@
     }
 }
 
-/// Place of a tenant with waiting statements. Equal times go by who began to wait first.
+/// Sort key of a tenant with waiting statements. Of equal virtual times, the tenant that began to wait first
+/// goes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct OrderKey {
     virtual_time: VirtualTime,
-    began_to_wait: u64,
+    wait_number: u64,
     tenant: TenantName,
 }
 
+/// A tenant's account of slot time.
 #[derive(Debug)]
 struct Account {
     weight: u32,
     virtual_time: VirtualTime,
-    /// Number of the occasion on which the tenant began to wait; `None` while nothing waits.
-    began_to_wait: Option<u64>,
+    /// Serial number of the wait in progress, across all tenants; `None` while no statement of the tenant waits.
+    wait_number: Option<u64>,
 }
 
+/// A statement that holds a slot.
 #[derive(Debug)]
 struct Running {
     tenant: TenantName,
     started: Timestamp,
-    /// Slot time charged so far: the estimate, or the time elapsed once that is longer.
+    /// Slot time charged so far: the estimate, or the elapsed time once that is longer.
     charged: Duration,
 }
 
-/// A statement whose slot was given back.
+/// A statement whose slot has been freed, and the time for which it was busy.
 #[derive(Debug)]
 pub(super) struct Finished {
     pub(super) tenant: TenantName,
     pub(super) busy: Duration,
 }
 
-/// Accounts of slot time and the order that follows from them.
+/// The accounts of slot time, and the waiting tenants in the order in which they get slots.
 #[derive(Debug, Default)]
 pub(super) struct Schedule {
     accounts: BTreeMap<TenantName, Account>,
-    waiting: BTreeSet<Place>,
+    waiting: BTreeSet<OrderKey>,
     running: BTreeMap<Ticket, Running>,
-    /// A tenant that begins to wait starts here, less [`SAVED_SLOT_TIME`] at the least. Never goes
-    /// back.
-    level: VirtualTime,
-    occasions: u64,
+    /// Virtual time at which a tenant that begins to wait starts, less a credit of up to [`SAVED_SLOT_TIME`].
+    /// Never decreases.
+    baseline: VirtualTime,
+    next_wait_number: u64,
 }
 
 impl Schedule {
-    /// Statements that hold a slot.
+    /// Number of statements that hold a slot.
     pub(super) fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// The tenant has statements that wait from now on, and this weight.
+    /// Records that the tenant has waiting statements from now on, and its weight.
     pub(super) fn begin_waiting(&mut self, now: Timestamp, tenant: &TenantName, weight: u32) {
         let weight = weight.max(1);
         if let Some(account) = self.accounts.get_mut(tenant) {
             account.weight = weight;
-            if account.began_to_wait.is_some() {
+            if account.wait_number.is_some() {
                 return;
             }
         }
         self.charge_overdue(now);
-        self.raise_level();
+        self.raise_baseline();
         let account = self
             .accounts
             .entry(tenant.clone())
             .or_insert_with(|| Account {
                 weight,
                 virtual_time: VirtualTime::default(),
-                began_to_wait: None,
+                wait_number: None,
             });
-        let least = self.level.less(SAVED_SLOT_TIME, 1);
+        let least = self.baseline.minus(SAVED_SLOT_TIME, 1);
         account.virtual_time = account.virtual_time.max(least);
-        account.began_to_wait = Some(self.occasions);
-        self.occasions += 1;
-        self.waiting.insert(account.place(tenant));
+        account.wait_number = Some(self.next_wait_number);
+        self.next_wait_number += 1;
+        self.waiting.insert(account.order_key(tenant));
     }
 
-    /// The tenant has no statement that waits any more.
+    /// Records that the tenant has no waiting statements any more.
     pub(super) fn end_waiting(&mut self, tenant: &TenantName) {
         let Some(account) = self.accounts.get_mut(tenant) else {
             return;
         };
-        if account.began_to_wait.is_some() {
-            self.waiting.remove(&account.place(tenant));
-            account.began_to_wait = None;
+        if account.wait_number.is_some() {
+            self.waiting.remove(&account.order_key(tenant));
+            account.wait_number = None;
         }
     }
 
-    /// Charges statements that run longer than estimated for the time elapsed.
+    /// Charges the running statements that have exceeded their estimate for the elapsed time.
     pub(super) fn charge_overdue(&mut self, now: Timestamp) {
         for running in self.running.values_mut() {
             let elapsed = now.saturating_since(running.started);
@@ -138,12 +144,12 @@
         }
     }
 
-    /// Tenants with waiting statements, the one to serve next first.
+    /// Tenants with waiting statements, in the order in which they get slots.
     pub(super) fn in_order(&self) -> impl Iterator<Item = &TenantName> {
-        self.waiting.iter().map(|place| &place.tenant)
+        self.waiting.iter().map(|order_key| &order_key.tenant)
     }
 
-    /// Gives a slot to a statement that is expected to be busy for `estimate`.
+    /// Gives a slot to a statement and charges the tenant for the expected busy time, `estimate`.
     pub(super) fn start(
         &mut self,
         now: Timestamp,
@@ -151,7 +157,7 @@
         ticket: Ticket,
         estimate: Duration,
     ) {
-        self.raise_level();
+        self.raise_baseline();
         if let Some(account) = self.accounts.get_mut(tenant) {
             account.charge(&mut self.waiting, tenant, estimate);
         }
@@ -163,7 +169,7 @@
         self.running.insert(ticket, running);
     }
 
-    /// Takes the slot back and corrects the charge to the time it was really busy.
+    /// Frees the slot and corrects the charge to the actual busy time; `None` when `ticket` holds no slot.
     pub(super) fn finish(&mut self, now: Timestamp, ticket: Ticket) -> Option<Finished> {
         let running = self.running.remove(&ticket)?;
         let busy = now.saturating_since(running.started);
@@ -186,17 +192,17 @@
         })
     }
 
-    /// Drops the account of a tenant that neither waits nor runs.
+    /// Removes the account of a tenant without waiting or running statements.
     pub(super) fn forget(&mut self, tenant: &TenantName) {
         self.accounts.remove(tenant);
     }
 
-    /// Moves the level up to the least virtual time of the tenants that wait, or run if none
-    /// waits, so that slots used while nobody else waited are not owed.
-    fn raise_level(&mut self) {
-        let waiting = self.waiting.first().map(|place| place.virtual_time);
+    /// Raises the baseline to the least virtual time of the waiting tenants, or of the running ones if none
+    /// waits. Slots that a tenant used while no other tenant waited are then not charged against it.
+    fn raise_baseline(&mut self) {
+        let waiting = self.waiting.first().map(|order_key| order_key.virtual_time);
         if let Some(waiting) = waiting {
-            self.level = self.level.max(waiting);
+            self.baseline = self.baseline.max(waiting);
             return;
         }
         let tenants = self.running.values().map(|running| &running.tenant);
@@ -205,46 +211,46 @@
             .map(|account| account.virtual_time)
             .min();
         if let Some(running) = running {
-            self.level = self.level.max(running);
+            self.baseline = self.baseline.max(running);
         }
     }
 }
 
 impl Account {
-    fn place(&self, tenant: &TenantName) -> Place {
-        Place {
+    fn order_key(&self, tenant: &TenantName) -> OrderKey {
+        OrderKey {
             virtual_time: self.virtual_time,
-            began_to_wait: self.began_to_wait.unwrap_or_default(),
+            wait_number: self.wait_number.unwrap_or_default(),
             tenant: tenant.clone(),
         }
     }
 
-    fn charge(&mut self, waiting: &mut BTreeSet<Place>, tenant: &TenantName, time: Duration) {
-        let virtual_time = self.virtual_time.more(time, self.weight);
+    fn charge(&mut self, waiting: &mut BTreeSet<OrderKey>, tenant: &TenantName, time: Duration) {
+        let virtual_time = self.virtual_time.plus(time, self.weight);
         self.move_to(virtual_time, waiting, tenant);
     }
 
-    fn refund(&mut self, waiting: &mut BTreeSet<Place>, tenant: &TenantName, time: Duration) {
-        let virtual_time = self.virtual_time.less(time, self.weight);
+    fn refund(&mut self, waiting: &mut BTreeSet<OrderKey>, tenant: &TenantName, time: Duration) {
+        let virtual_time = self.virtual_time.minus(time, self.weight);
         self.move_to(virtual_time, waiting, tenant);
     }
 
     fn move_to(
         &mut self,
         virtual_time: VirtualTime,
-        waiting: &mut BTreeSet<Place>,
+        waiting: &mut BTreeSet<OrderKey>,
         tenant: &TenantName,
     ) {
         if virtual_time == self.virtual_time {
             return;
         }
-        let waits = self.began_to_wait.is_some();
+        let waits = self.wait_number.is_some();
         if waits {
-            waiting.remove(&self.place(tenant));
+            waiting.remove(&self.order_key(tenant));
         }
         self.virtual_time = virtual_time;
         if waits {
-            waiting.insert(self.place(tenant));
+            waiting.insert(self.order_key(tenant));
         }
     }
 }
--- a/crates/dyketally/src/admission/status.rs
+++ b/crates/dyketally/src/admission/status.rs
@@ -1,4 +1,4 @@
-//! What operators can see of a fair queue.
+//! The status of a fair queue, for operators.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,55 +7,56 @@
 
 use crate::identifiers::TenantName;
 
-/// What became of a tenant's statements so far.
+/// Counts of a tenant's statements by what happened to them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantCounters {
-    /// Accepted into the queue.
+    /// Statements accepted into the queue.
     pub enqueued: u64,
-    /// Turned away on arrival.
+    /// Statements rejected on arrival.
     pub rejected: u64,
-    /// Given a slot.
+    /// Statements that were given a slot.
     pub admitted: u64,
-    /// Slots given back.
+    /// Statements that have finished and freed their slot.
     pub finished: u64,
-    /// Given up on while they waited.
+    /// Statements that expired while they waited.
     pub expired: u64,
-    /// Taken out of the queue by their owner.
+    /// Statements that their owner withdrew from the queue.
     pub withdrawn: u64,
     /// Slot time of the finished statements.
     pub busy: Duration,
 }
 
-/// One tenant's part of a fair queue.
+/// The status of one tenant in a fair queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantStatus {
-    /// Its share relative to other tenants.
+    /// The tenant's share relative to other tenants.
     pub weight: u32,
-    /// Statements that wait.
+    /// Number of waiting statements.
     pub queued: usize,
-    /// Statements that hold a slot.
+    /// Number of statements that hold a slot.
     pub running: usize,
-    /// Average busy time of its statements; `None` before the first has finished.
+    /// Average busy time of the tenant's statements; `None` before the first has finished.
     pub service_time: Option<Duration>,
-    /// Busy time that few of its statements exceed.
+    /// Busy time that few of the tenant's statements exceed.
     pub service_time_upper: Duration,
-    /// Average time between two admissions while others of its statements waited.
+    /// Average time between two admissions of the tenant's statements while others of them waited; `None` before
+    /// the first.
     pub drain_interval: Option<Duration>,
-    /// What became of its statements.
+    /// Counts of the tenant's statements by what happened to them.
     pub counters: TenantCounters,
 }
 
-/// A fair queue at one moment.
+/// The status of a fair queue at one moment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueStatus {
-    /// Statements that may run at one time.
+    /// Greatest number of statements that may run at a time.
     pub slots: u32,
-    /// Statements that wait.
+    /// Number of waiting statements.
     pub queued: usize,
-    /// Statements that hold a slot.
+    /// Number of statements that hold a slot.
     pub running: usize,
-    /// Reports of the end of a statement that held no slot. Should stay 0.
+    /// Number of reports of the end of a statement that held no slot. Should stay 0.
     pub unknown_finished: u64,
-    /// By tenant.
+    /// Status by tenant.
     pub tenants: BTreeMap<TenantName, TenantStatus>,
 }
--- a/crates/dyketally/src/admission/submission.rs
+++ b/crates/dyketally/src/admission/submission.rs
@@ -1,4 +1,4 @@
-//! What goes into a fair queue and what comes out of it.
+//! Statements as they enter a fair queue, and the results with which they leave it.
 
 use std::time::Duration;
 
@@ -6,91 +6,91 @@
 use crate::policy::Urgency;
 use crate::time::Timestamp;
 
-/// Identifies a statement in one fair queue, from its arrival until it has finished running.
+/// Identifies a statement in one fair queue, from its arrival until it has finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub(super) u64);
 
 /// Whether a statement already holds a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// It belongs to an open transaction, which holds a connection. Runs before the tenant's
-    /// fresh statements, and the queue limit does not count it.
+    /// The statement belongs to an open transaction, which holds a connection. It runs before the tenant's
+    /// fresh statements and doesn't count towards the queue limit.
     Continuation,
-    /// It needs a connection first.
+    /// The statement needs a connection before it can run.
     Fresh,
 }
 
-/// A statement that asks for a slot.
+/// A statement that requests a slot.
 #[derive(Clone, Debug)]
 pub struct Submission<T> {
-    /// On whose share it runs.
+    /// The tenant to whose share the statement's slot time is charged.
     pub tenant: TenantName,
     /// The tenant's share relative to other tenants; 0 counts as 1.
     pub weight: u32,
-    /// Fresh statements of this tenant that may wait at one time.
+    /// Greatest number of this tenant's fresh statements that may wait at a time.
     pub queue_limit: u32,
-    /// Whether it holds a connection already.
+    /// Whether the statement already holds a connection.
     pub stage: Stage,
     /// Order among the tenant's own statements.
     pub urgency: Urgency,
-    /// When its caller stops waiting for the answer. It is given up on before that, once it can no
-    /// longer be expected to end in time.
+    /// When the caller stops waiting for the answer. The statement expires earlier, once it can no longer be
+    /// expected to end by then.
     pub deadline: Timestamp,
-    /// The statement itself, handed back unchanged.
+    /// The statement itself, returned unchanged.
     pub item: T,
 }
 
 /// A statement that has a slot until [`FairQueue::finished`](super::FairQueue::finished).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Admitted<T> {
-    /// Names the slot.
+    /// Identifies the slot.
     pub ticket: Ticket,
-    /// On whose share it runs.
+    /// The tenant to whose share the statement's slot time is charged.
     pub tenant: TenantName,
-    /// Whether it holds a connection already.
+    /// Whether the statement already holds a connection.
     pub stage: Stage,
-    /// Time spent in the queue.
+    /// Time that the statement spent in the queue.
     pub waited: Duration,
     /// The statement itself.
     pub item: T,
 }
 
-/// Why a statement was not queued.
+/// The reason for which a statement was not queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RejectionReason {
-    /// The tenant's queue is full.
+    /// The tenant's queue limit has been reached.
     QueueFull,
     /// The deadline has already passed.
     DeadlinePassed,
-    /// At the rate at which the tenant's queue drains, the deadline would pass in the queue.
+    /// At the rate at which the tenant's queue drains, the statement would expire in the queue.
     WaitTooLong,
 }
 
-/// A statement that was not queued. It was not run.
+/// A statement that was not queued, and has not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejected<T> {
-    /// Why.
+    /// The reason for which it was not queued.
     pub reason: RejectionReason,
-    /// When to come back, from the rate at which the tenant's queue drains. Never zero.
+    /// Time after which to retry, from the rate at which the tenant's queue drains. Never zero.
     pub retry_after: Duration,
     /// The statement itself.
     pub item: T,
 }
 
-/// A statement that waited until it could not be expected to end in time. It was not run.
+/// A statement that waited until it could no longer be expected to end before its deadline, and has not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expired<T> {
     /// The ticket it was queued under; no longer valid.
     pub ticket: Ticket,
     /// Whose statement it was.
     pub tenant: TenantName,
-    /// When to come back, from the rate at which the tenant's queue drains. Never zero.
+    /// Time after which to retry, from the rate at which the tenant's queue drains. Never zero.
     pub retry_after: Duration,
     /// The statement itself.
     pub item: T,
 }
 
-/// A queued statement that was taken out by its owner. It was not run.
+/// A queued statement that its owner withdrew. It has not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Withdrawn<T> {
     /// The ticket it was queued under; no longer valid.
--- a/crates/dyketally/src/admission/tenant.rs
+++ b/crates/dyketally/src/admission/tenant.rs
@@ -1,4 +1,4 @@
-//! The waiting statements of one tenant and what was measured about it.
+//! The waiting statements of one tenant, and the measurements of its statements.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,11 +11,11 @@
 use crate::policy::Urgency;
 use crate::time::Timestamp;
 
-/// Busy time that is assumed for a statement of a tenant that has run none yet.
+/// Busy time assumed for a statement of a tenant none of whose statements has finished yet.
 const FIRST_ESTIMATE: Duration = Duration::from_millis(5);
 
-/// Order of a tenant's own statements: open transactions first, then urgent before normal, then
-/// by arrival.
+/// Sort key of a tenant's waiting statements: statements of open transactions first, then urgent before
+/// normal, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     pub(super) stage: Stage,
@@ -23,19 +23,25 @@
     pub(super) ticket: Ticket,
 }
 
+/// A statement that waits for a slot.
 #[derive(Debug)]
 pub(super) struct Waiting<T> {
     pub(super) enqueued: Timestamp,
+    /// When the statement expires if it has not been admitted.
     pub(super) latest_start: Timestamp,
     pub(super) item: T,
 }
 
+/// Queue and measurements of one tenant.
 #[derive(Debug)]
 pub(super) struct Tenant<T> {
     weight: u32,
     waiting: BTreeMap<Rank, Waiting<T>>,
-    fresh: usize,
+    /// Number of waiting statements of [`Stage::Fresh`].
+    waiting_fresh: usize,
+    /// Number of statements that hold a slot.
     pub(super) running: usize,
+    /// Busy time of the finished statements.
     service_time: Estimate,
     pub(super) drain_rate: DrainRate,
     pub(super) counters: TenantCounters,
@@ -46,7 +52,7 @@
         Tenant {
             weight: 1,
             waiting: BTreeMap::new(),
-            fresh: 0,
+            waiting_fresh: 0,
             running: 0,
             service_time: Estimate::default(),
             drain_rate: DrainRate::default(),
@@ -58,9 +64,9 @@
         self.weight = weight.max(1);
     }
 
-    /// Whether `limit` fresh statements wait already.
+    /// True when at least `limit` fresh statements wait already.
     pub(super) fn is_full(&self, limit: u32) -> bool {
-        u32::try_from(self.fresh).unwrap_or(u32::MAX) >= limit
+        u32::try_from(self.waiting_fresh).unwrap_or(u32::MAX) >= limit
     }
 
     pub(super) fn is_idle(&self) -> bool {
@@ -76,18 +82,18 @@
     }
 
     pub(super) fn push(&mut self, rank: Rank, waiting: Waiting<T>) {
-        self.fresh += usize::from(rank.stage == Stage::Fresh);
-        self.drain_rate.waiting(waiting.enqueued);
+        self.waiting_fresh += usize::from(rank.stage == Stage::Fresh);
+        self.drain_rate.record_waiting(waiting.enqueued);
         self.waiting.insert(rank, waiting);
     }
 
     pub(super) fn remove(&mut self, rank: Rank) -> Option<Waiting<T>> {
         let waiting = self.waiting.remove(&rank)?;
-        self.fresh -= usize::from(rank.stage == Stage::Fresh);
+        self.waiting_fresh -= usize::from(rank.stage == Stage::Fresh);
         Some(waiting)
     }
 
-    /// The first waiting statement that is of an eligible stage and not past its latest start.
+    /// The first waiting statement whose stage is eligible and whose latest start has not passed.
     pub(super) fn first(&self, now: Timestamp, eligible: impl Fn(Stage) -> bool) -> Option<Rank> {
         [Stage::Continuation, Stage::Fresh]
             .into_iter()
@@ -108,20 +114,20 @@
             .map(|(rank, _)| *rank)
     }
 
-    /// Busy time to expect of the tenant's next statement.
+    /// Expected busy time of the tenant's next statement.
     pub(super) fn estimate(&self) -> Duration {
         self.service_time.average().unwrap_or(FIRST_ESTIMATE)
     }
 
-    /// When a statement that arrives now must start to end by `deadline`. At least half of the
-    /// time left may be spent waiting, however long the tenant's statements run.
+    /// The latest time at which a statement that arrives now has to start in order to end by `deadline`. At
+    /// least half of the time left may be spent waiting, however long the tenant's statements run.
     pub(super) fn latest_start(&self, now: Timestamp, deadline: Timestamp) -> Timestamp {
-        let most = deadline.saturating_since(now) / 2;
-        deadline - self.service_time.upper().min(most)
+        let half = deadline.saturating_since(now) / 2;
+        deadline - self.service_time.upper().min(half)
     }
 
-    /// Time until the statements that go before one of `rank` have been admitted, at the rate
-    /// measured so far. A stall in progress doesn't count: it may end at any time.
+    /// Time until the statements ahead of one of `rank` have been admitted, at the average rate measured so
+    /// far. A stall in progress is ignored, since it may end at any time.
     pub(super) fn expected_wait(&self, rank: Rank) -> Duration {
         let ahead = self.waiting.range(..rank).count();
         let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
@@ -129,7 +135,7 @@
         interval.saturating_mul(ahead)
     }
 
-    pub(super) fn finished(&mut self, busy: Duration) {
+    pub(super) fn record_finished(&mut self, busy: Duration) {
         self.running -= 1;
         self.service_time.record(busy);
         self.counters.finished += 1;
--- a/crates/dyketally/src/failover/contact.rs
+++ b/crates/dyketally/src/failover/contact.rs
@@ -7,9 +7,9 @@
 //!
 //! Each node also needs a *short contact*. Without it, a coordinator would have to wait until the long
 //! contact of nodes that failed together with a primary has expired. Nodes request the short contact from
-//! the coordinator, directly or through a relay; each reply grants it and lists the fences in force. While there is no coordinator,
-//! replies of more than half of the nodes count as a grant. A node trusts a primary without a check only
-//! while it has both contacts.
+//! the coordinator, directly or through a relay; each reply grants it and lists the fences in force. While
+//! there is no coordinator, replies of more than half of the nodes count as a grant. A node trusts a
+//! primary without a check only while it has both contacts.
 
 use std::time::Duration;
 
