--- a/crates/dyketally/src/slow_start/budget.rs
+++ b/crates/dyketally/src/slow_start/budget.rs
@@ -1,61 +1,61 @@
-//! The part of a cold database's rate that each holder has.
+//! Divides a cold database's rate among its holders, the nodes that send to it.
 
 use std::time::Duration;
 
 use crate::tenant::OperationRate;
 
-/// Holders of a cold database's budget at most: with three, one that is lost takes a third of the rate
-/// with it, and not all.
-const HOLDERS_AT_MOST: usize = 3;
-/// Requests that one batch sends at most: a transaction is opened, the caller's statement runs, and the
-/// transaction is dropped.
+/// Greatest number of holders of a cold database. With three holders, the loss of one costs a third of the rate,
+/// not all of it.
+const MAX_HOLDERS: usize = 3;
+/// Greatest number of requests in one batch: one opens a transaction, one runs the caller's statement, and one
+/// ends the transaction.
 pub const LARGEST_BATCH: u32 = 3;
-/// Clocks of two nodes are taken to differ by less than this factor over the time for which a database
-/// is cold. Oscillators are off by a few hundred parts in a million; the rest covers clocks that are
-/// slewed while they are set right.
+/// Greatest assumed ratio between the rates of two nodes' clocks while a database is cold. Oscillators deviate by
+/// a few hundred parts per million; the rest of the tolerance covers clocks that are being slewed.
 const CLOCK_TOLERANCE: f64 = 1.05;
 const SECOND: Duration = Duration::from_secs(1);
-/// Pause between requests where the budget leaves no rate at all.
-const NEVER: Duration = Duration::from_secs(3_600);
+/// Longest interval between two requests, used where the budget leaves less than one request per interval.
+const MAX_INTERVAL: Duration = Duration::from_secs(3_600);
 
-/// By how much the requests of one second may exceed the rate.
+/// How far the number of requests in one second may exceed the rate: up to `overrun * rate + slack`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Margin {
-    /// Times the rate.
+    /// Factor by which the rate is multiplied.
     pub overrun: f64,
-    /// Requests on top of that.
+    /// Number of requests added to the multiplied rate.
     pub slack: f64,
 }
 
-/// How a cold database's rate is shared out.
+/// A cold database's rate, divided among its holders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Nodes that send to it: the first so many of its ranking.
+    /// Number of holders: the nodes that come first in the database's ranking of the nodes.
     pub holders: usize,
-    /// Time between two requests of one holder.
+    /// Average time between two requests of one holder.
     pub interval: Duration,
 }
 
 impl Budget {
-    /// Shares out `rate` so that no second holds more than `margin` allows.
+    /// Divides `rate` so that no second has more requests than `margin` allows.
     ///
-    /// A holder that keeps its interval sends no more in a second than its rate and one batch. With few
-    /// holders fewer batches come on top; there are as many holders as leave the rate whole.
+    /// A holder that keeps its interval sends, in any second, at most its part of the rate plus one batch of
+    /// [`LARGEST_BATCH`] requests, so each holder costs the margin one batch. The result has the number of
+    /// holders, up to [`MAX_HOLDERS`], that leaves the greatest total rate; of equal ones, the greatest.
     pub fn of(rate: OperationRate, margin: Margin) -> Self {
         let rate = rate.millionths_in(SECOND) as f64 / 1e6;
         let allowed = rate * margin.overrun + margin.slack;
-        let shared = |holders: usize| {
+        let total_rate = |holders: usize| {
             let batches = f64::from(LARGEST_BATCH) * holders as f64;
             rate.min((allowed - batches) / CLOCK_TOLERANCE)
         };
-        // Of equal ones the last is taken.
-        let best = (1..=HOLDERS_AT_MOST)
-            .max_by(|one, other| shared(*one).total_cmp(&shared(*other)))
+        // `max_by` returns the last of several equal elements: the greatest number of holders.
+        let best = (1..=MAX_HOLDERS)
+            .max_by(|one, other| total_rate(*one).total_cmp(&total_rate(*other)))
             .unwrap_or(1);
-        let each = shared(best) / best as f64;
-        let interval = match each > NEVER.as_secs_f64().recip() {
-            true => Duration::from_secs_f64(each.recip()),
-            false => NEVER,
+        let holder_rate = total_rate(best) / best as f64;
+        let interval = match holder_rate > MAX_INTERVAL.as_secs_f64().recip() {
+            true => Duration::from_secs_f64(holder_rate.recip()),
+            false => MAX_INTERVAL,
         };
         Self {
             holders: best,
--- a/crates/dyketally/src/slow_start/mod.rs
+++ b/crates/dyketally/src/slow_start/mod.rs
@@ -1,13 +1,13 @@
-//! Slow start: a database that has just started is cold, and bears only so many requests a second
-//! from the whole fleet until it has warmed up.
+//! Slow start: a database that has just started is cold. Until it has warmed up, all nodes together may send
+//! it only a limited number of requests per second.
 //!
-//! Few nodes, its holders, send to a cold database; all others hand their statements over to them.
-//! Each holder has a fixed part of the rate ([`Budget`]) and sends no faster than that ([`Pacer`]),
-//! so that no message is needed between nodes. The holders follow from the list of nodes. Lists
-//! differ for a while when nodes come and go: a node therefore uses its part only once its own list
-//! has named it for long enough ([`Tenure`]), and only while it hears of changes of the list, so that
-//! whoever it takes over from has stopped by then. [`Warmth`] tells whether a database may be cold;
-//! what isn't known counts as cold.
+//! Only a few nodes, the *holders*, send to a cold database; all other nodes forward their statements to a
+//! holder. Each holder has a fixed part of the rate ([`Budget`]) and sends no faster than that ([`Pacer`]),
+//! so nodes need not exchange messages about it. The holders are derived from the list of nodes. When nodes
+//! join or leave, the nodes' lists differ for a while. A node therefore uses its part only once its own list
+//! has named it a holder for long enough ([`Tenure`]), and only while it receives changes of the list: a
+//! former holder that it replaces has stopped by then. [`Warmth`] says whether a database may be cold; a
+//! database whose state is unknown counts as cold.
 
 mod budget;
 mod pacer;
--- a/crates/dyketally/src/slow_start/pacer.rs
+++ b/crates/dyketally/src/slow_start/pacer.rs
@@ -1,10 +1,10 @@
-//! Keeps requests apart.
+//! Spaces the requests of one node to a cold database.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Sends no more than one batch and then as many requests as the interval gives time for.
+/// Spaces batches so that the requests sent in any period are at most one batch plus one request per interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pacer {
     next: Timestamp,
@@ -16,9 +16,9 @@
         self.next.saturating_since(now)
     }
 
-    /// Records that `requests` are sent now, which lie `interval` apart on average.
+    /// Records that a batch of `requests` is sent now; each request occupies one `interval`.
     pub fn sent(&mut self, now: Timestamp, requests: u32, interval: Duration) {
-        let begins = self.next.max(now);
-        self.next = begins + interval.saturating_mul(requests);
+        let start = self.next.max(now);
+        self.next = start + interval.saturating_mul(requests);
     }
 }
--- a/crates/dyketally/src/slow_start/tenure.rs
+++ b/crates/dyketally/src/slow_start/tenure.rs
@@ -1,25 +1,25 @@
-//! Since when a node may use its part of a database's budget.
+//! Tracks since when a node has been a holder of a cold database, and from when it may send.
 
 use std::time::Duration;
 
 use crate::failover::STORE_HOLDS;
 use crate::time::Timestamp;
 
-/// How long a node's list must have named it as a holder before it sends. Whoever it takes over from
-/// hears of that within [`STORE_HOLDS`], or knows that it doesn't hear and stops; the rest covers clocks
-/// that run at rates up to 5% apart.
+/// How long a node's own list must have named it a holder before it sends. Within [`STORE_HOLDS`], a former
+/// holder either receives the changed list or finds that it has lost contact with the store, and stops
+/// sending. The remaining 400 ms cover clocks whose rates differ by up to 5%.
 pub const TAKE_OVER_AFTER: Duration = STORE_HOLDS.saturating_add(Duration::from_millis(400));
 
-/// Since when a node has been a holder, by its own list of nodes.
+/// Since when a node has been a holder according to its own list of nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tenure {
     since: Option<Timestamp>,
 }
 
 impl Tenure {
-    /// Records whether the node is a holder by the list that it has now.
-    pub fn update(&mut self, now: Timestamp, holds: bool) {
-        match holds {
+    /// Records whether the node is a holder according to its current list of nodes.
+    pub fn update(&mut self, now: Timestamp, is_holder: bool) {
+        match is_holder {
             true => {
                 self.since.get_or_insert(now);
             }
@@ -27,12 +27,12 @@
         }
     }
 
-    /// True when the node is a holder.
+    /// True while the node is a holder, even if it may not send yet.
     pub fn is_held(&self) -> bool {
         self.since.is_some()
     }
 
-    /// Time until former holders have stopped; `None` when the node is no holder.
+    /// Time until the node may send because former holders have stopped; `None` when the node is no holder.
     pub fn wait(&self, now: Timestamp) -> Option<Duration> {
         let since = self.since?;
         Some((since + TAKE_OVER_AFTER).saturating_since(now))
--- a/crates/dyketally/src/slow_start/throttle.rs
+++ b/crates/dyketally/src/slow_start/throttle.rs
@@ -1,4 +1,4 @@
-//! What one node may send to one database.
+//! Decides whether one node may send to one database, by the rules of its slow start.
 
 use std::time::Duration;
 
@@ -9,20 +9,21 @@
 use crate::route_policy::SlowStart;
 use crate::time::Timestamp;
 
-/// Whether a node may send to a database.
+/// Whether a node may send to a database at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pace {
-    /// It is warm, or its group has no slow start: as fast as it takes it.
+    /// The database is warm, or its group has no slow start: the node may send without pacing.
     Free,
-    /// It is cold; the next batch may be sent after this time.
+    /// The database is cold and the node is a holder: it may send the next batch after this time.
     After(Duration),
-    /// It is cold, and this node has no part of its budget: others send to it.
+    /// The database is cold and the node is no holder: only other nodes may send.
     Elsewhere,
-    /// It is cold, and this node can't tell yet whether a former holder still sends to it.
+    /// The database is cold and the node is a holder, but a former holder may still be sending: the node may not
+    /// send yet.
     Unsettled,
 }
 
-/// A database's slow start as one node keeps it.
+/// One node's state of one database's slow start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Throttle {
     rule: Option<(SlowStart, Budget)>,
@@ -32,27 +33,27 @@
 }
 
 impl Throttle {
-    /// Records how the database's group starts; `None` where its databases are never cold.
+    /// Sets the slow start of the database's group; `None` if the group has none and its databases are never cold.
     pub fn set_rule(&mut self, rule: Option<SlowStart>, margin: Margin) {
         self.rule = rule.map(|rule| (rule, Budget::of(rule.rate, margin)));
     }
 
-    /// What is known of its start.
+    /// What is known of the database's last start.
     pub fn warmth(&mut self) -> &mut Warmth {
         &mut self.warmth
     }
 
-    /// Records whether this node sends to it while it is cold, by the list of nodes that it has now.
-    pub fn hold(&mut self, now: Timestamp, holds: bool) {
-        self.tenure.update(now, holds);
+    /// Records whether this node is a holder of the database according to its current list of nodes.
+    pub fn hold(&mut self, now: Timestamp, is_holder: bool) {
+        self.tenure.update(now, is_holder);
     }
 
-    /// True where databases of the group have a slow start.
+    /// True when the database's group has a slow start.
     pub fn is_limited(&self) -> bool {
         self.rule.is_some()
     }
 
-    /// True when this node sends to it while it is cold, once former holders have stopped.
+    /// True when this node is a holder of the database, even if it may not send yet.
     pub fn is_holder(&self) -> bool {
         self.tenure.is_held()
     }
@@ -63,38 +64,39 @@
         rule.is_some_and(|(rule, _)| now < self.warmth.cold_until(rule.cold_for))
     }
 
-    /// How much longer it is cold by its own announcement.
+    /// How much longer the database is cold according to its own announcement.
     pub fn announced_cold_for(&self, now: Timestamp) -> Duration {
         self.warmth.announced_cold_for(now)
     }
 
-    /// Share of its reads that it should get, from 0 to 1.
+    /// Fraction of its usual reads that the database should get, from 0 to 1.
     pub fn share(&self, now: Timestamp) -> f64 {
         let rule = self.rule.as_ref();
         rule.map_or(1.0, |(rule, _)| self.warmth.share(now, rule.cold_for))
     }
 
-    /// Whether this node may send to it. The node knows all that the store held at `heard`, if it is in
-    /// touch with it: it would have heard that others are holders now, or that the database has started.
-    pub fn pace(&mut self, now: Timestamp, heard: Option<Timestamp>) -> Pace {
-        self.warmth.settle(now, heard);
+    /// Whether this node may send to the database at `now`. `store_known_as_of` is the time as of which the
+    /// node knows the contents of the store; `None` while it is out of contact with the store, when it could
+    /// miss that other nodes have become holders or that the database has started.
+    pub fn pace(&mut self, now: Timestamp, store_known_as_of: Option<Timestamp>) -> Pace {
+        self.warmth.settle(now, store_known_as_of);
         if !self.is_cold(now) {
             return Pace::Free;
         }
         match self.tenure.wait(now) {
             None => Pace::Elsewhere,
-            Some(wait) if !wait.is_zero() || heard.is_none() => Pace::Unsettled,
+            Some(wait) if !wait.is_zero() || store_known_as_of.is_none() => Pace::Unsettled,
             Some(_) => Pace::After(self.pacer.wait(now)),
         }
     }
 
-    /// Time between two requests of this node.
+    /// Average time between two requests of this node while the database is cold; zero without a slow start.
     pub fn interval(&self) -> Duration {
         let rule = self.rule.as_ref();
         rule.map_or(Duration::ZERO, |(_, budget)| budget.interval)
     }
 
-    /// Records that `requests` are sent now.
+    /// Records that a batch of `requests` is sent now.
     pub fn sent(&mut self, now: Timestamp, requests: u32) {
         if self.is_cold(now) {
             self.pacer.sent(now, requests, self.interval());
--- a/crates/dyketally/src/slow_start/warmth.rs
+++ b/crates/dyketally/src/slow_start/warmth.rs
@@ -1,109 +1,121 @@
-//! Whether a database may be cold.
+//! Tracks whether a database may be cold, from its announcements and from signs that it may have restarted.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// How long after a start a database's announcement in the store may still be the one from before:
-/// databases announce themselves as they start (20 ms later, measured on eight starts).
-const ANNOUNCED_LATE: Duration = Duration::from_millis(500);
-/// Time over which reads come back to a database that has warmed up. Without, every node would send it
-/// all of its reads at once, since nothing waits there yet.
+/// Time after a start for which the database's announcement in the store may still be the one from before the
+/// start. Databases announce themselves as they start: 20 ms later in eight starts.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(500);
+/// Time over which a database that has warmed up is given its full share of reads again. Without this ramp, every
+/// node would send it all of its reads at once, since its queue is still empty.
 pub const RAMP: Duration = Duration::from_secs(2);
 
-/// What is known of a database's start.
+/// What is known of a database's last start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Warmth {
-    /// Until when it is cold by its announcement.
+    /// Until when the database is cold according to its announcements.
     cold_until: Timestamp,
-    doubt: Option<Doubt>,
-    known: bool,
+    /// A restart that this node may have missed and hasn't ruled out.
+    possible_restart: Option<PossibleRestart>,
+    /// True once an announcement has been received.
+    is_announced: bool,
 }
 
-/// The database may have started without this node's knowledge.
+/// A restart of the database that this node may have missed.
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
-    /// Connections that were opened before then are of no use if it has.
+struct PossibleRestart {
+    /// Earliest time of the restart. A connection opened before that and still answering rules the restart out.
     since: Timestamp,
-    /// When it was seen to run again, so that it can't start later; `None` until then.
-    reached: Option<Timestamp>,
+    /// When the database was first found to be running since, so that the restart was earlier; `None` until then.
+    found_running: Option<Timestamp>,
 }
 
-impl Doubt {
-    /// True when this node would have heard of a start: it knows all that the store held at `heard`.
-    fn is_settled(self, heard: Timestamp) -> bool {
-        self.reached.is_some_and(|at| heard >= at + ANNOUNCED_LATE)
+impl PossibleRestart {
+    /// True when this node would have received the announcement of a restart by now. The node knows the contents
+    /// of the store as of `store_known_as_of`.
+    fn is_ruled_out(self, store_known_as_of: Timestamp) -> bool {
+        self.found_running
+            .is_some_and(|at| store_known_as_of >= at + ANNOUNCEMENT_DELAY)
     }
 }
 
 impl Warmth {
-    /// Records an announcement by which the database is cold for `cold_for` from now. Announcements
-    /// come late, so it is warm by then. The first one may be left over from before a start.
+    /// Records an announcement that the database is cold for `cold_for` from now. Announcements arrive with a
+    /// delay, so the database is certainly warm after that time. The first announcement may be a leftover from
+    /// before a restart, so the database may still be cold.
     pub fn announced(&mut self, now: Timestamp, cold_for: Duration) {
         if !cold_for.is_zero() {
             self.cold_until = self.cold_until.max(now + cold_for);
         }
-        if !std::mem::replace(&mut self.known, true) {
-            self.doubt = Some(Doubt {
+        if !std::mem::replace(&mut self.is_announced, true) {
+            self.possible_restart = Some(PossibleRestart {
                 since: now,
-                reached: Some(now),
+                found_running: Some(now),
             });
         }
     }
 
-    /// Records that the database may start again from now on: its connections broke, it can't be
-    /// reached, or it no longer announces itself.
+    /// Records that the database may restart at any time from now on: its connections broke, it is
+    /// unreachable, or it no longer announces itself.
     pub fn doubted(&mut self, now: Timestamp) {
-        self.doubt = Some(Doubt {
+        self.possible_restart = Some(PossibleRestart {
             since: now,
-            reached: None,
+            found_running: None,
         });
     }
 
-    /// Records that a connection answered that was opened at `opened`.
+    /// Records that the database answered on a connection that was opened at `opened`.
     pub fn answered(&mut self, now: Timestamp, opened: Timestamp) {
-        if self.doubt.is_some_and(|doubt| opened < doubt.since) {
-            // It has run all the time.
-            self.doubt = None;
+        if self
+            .possible_restart
+            .is_some_and(|restart| opened < restart.since)
+        {
+            // The connection has survived, so the database has been running without a restart.
+            self.possible_restart = None;
         }
         self.ran(now);
     }
 
-    /// Records that it runs: it answered this node or another one.
+    /// Records that the database is running: it answered this node or another one.
     pub fn ran(&mut self, now: Timestamp) {
-        if let Some(doubt) = &mut self.doubt {
-            doubt.reached.get_or_insert(now);
+        if let Some(restart) = &mut self.possible_restart {
+            restart.found_running.get_or_insert(now);
         }
     }
 
-    /// Drops a doubt that nothing has confirmed, where this node knows all that the store held at
-    /// `heard`.
-    pub fn settle(&mut self, now: Timestamp, heard: Option<Timestamp>) {
-        let doubt = self.doubt.zip(heard);
-        if doubt.is_some_and(|(doubt, heard)| doubt.is_settled(heard)) {
-            self.doubt = None;
+    /// Drops a possible restart that is ruled out because its announcement would have arrived. The node knows the
+    /// contents of the store as of `store_known_as_of`; `None` while it is out of contact with the store.
+    pub fn settle(&mut self, now: Timestamp, store_known_as_of: Option<Timestamp>) {
+        let possible_restart = self.possible_restart.zip(store_known_as_of);
+        if possible_restart.is_some_and(|(restart, known_as_of)| restart.is_ruled_out(known_as_of))
+        {
+            self.possible_restart = None;
             self.cold_until = self.cold_until.max(now);
         }
     }
 
-    /// How much longer it is cold by its own announcement.
+    /// How much longer the database is cold according to its own announcement.
     pub fn announced_cold_for(&self, now: Timestamp) -> Duration {
         self.cold_until.saturating_since(now)
     }
 
-    /// Until when it may be cold, where it is so for `lasts` after a start; [`Timestamp::MAX`] while it
-    /// may start at any time.
-    pub fn cold_until(&self, lasts: Duration) -> Timestamp {
-        let doubted = match self.doubt {
-            Some(doubt) => doubt.reached.map_or(Timestamp::MAX, |at| at + lasts),
+    /// Until when the database may be cold, if it is cold for `cold_for` after a start; [`Timestamp::MAX`] while
+    /// it may restart at any time.
+    pub fn cold_until(&self, cold_for: Duration) -> Timestamp {
+        let after_restart = match self.possible_restart {
+            Some(restart) => restart
+                .found_running
+                .map_or(Timestamp::MAX, |at| at + cold_for),
             None => Timestamp::ZERO,
         };
-        self.cold_until.max(doubted)
+        self.cold_until.max(after_restart)
     }
 
-    /// Share of its reads that it should get: none while it may be cold, then more and more.
-    pub fn share(&self, now: Timestamp, lasts: Duration) -> f64 {
-        let until = self.cold_until(lasts);
+    /// Fraction of its usual reads that the database should get: 0 while it may be cold, then rising linearly to 1
+    /// over [`RAMP`]. `cold_for` is the time for which it is cold after a start.
+    pub fn share(&self, now: Timestamp, cold_for: Duration) -> f64 {
+        let until = self.cold_until(cold_for);
         if until == Timestamp::ZERO {
             return 1.0;
         }
