--- a/crates/dyketally/src/admission/gate.rs
+++ b/crates/dyketally/src/admission/gate.rs
@@ -119,14 +119,14 @@
         }
     }
 
-    /// How long a statement with the timeouts `patience` may wait at `now`.
-    pub fn patience(&self, now: Timestamp, patience: Patience) -> Duration {
+    /// How long a statement with the given `timeouts` may wait at `now`.
+    pub fn patience(&self, now: Timestamp, timeouts: Patience) -> Duration {
         let is_standing = self
             .waited_since
             .is_some_and(|since| now.saturating_since(since) >= STANDING_AFTER);
         match is_standing {
-            true => patience.standing,
-            false => patience.burst,
+            true => timeouts.standing,
+            false => timeouts.burst,
         }
     }
 
--- a/crates/dyketally/src/failover/contact.rs
+++ b/crates/dyketally/src/failover/contact.rs
@@ -55,14 +55,14 @@
 }
 
 impl Contact {
-    /// Records that the store replied to a request sent at `asked`.
-    pub fn store_replied(&mut self, asked: Timestamp) {
-        self.note_reply(asked);
-        let lapsed = |at| asked.saturating_since(at) >= STORE_HOLDS;
+    /// Records that the store replied to a request sent at `sent_at`.
+    pub fn store_replied(&mut self, sent_at: Timestamp) {
+        self.note_reply(sent_at);
+        let lapsed = |at| sent_at.saturating_since(at) >= STORE_HOLDS;
         if self.store.is_some_and(lapsed) {
-            self.store_regained = Some(asked);
+            self.store_regained = Some(sent_at);
         }
-        self.store = self.store.max(Some(asked));
+        self.store = self.store.max(Some(sent_at));
     }
 
     /// The time as of which the node knows the contents of the store; `None` when that is [`STORE_HOLDS`] ago or
@@ -82,20 +82,20 @@
         }
     }
 
-    /// Records that more than half of the nodes replied to a poll sent at `asked`.
-    pub fn majority_replied(&mut self, asked: Timestamp) {
-        self.note_reply(asked);
-        self.majority = self.majority.max(Some(asked));
+    /// Records that more than half of the nodes replied to a poll sent at `sent_at`.
+    pub fn majority_replied(&mut self, sent_at: Timestamp) {
+        self.note_reply(sent_at);
+        self.majority = self.majority.max(Some(sent_at));
     }
 
-    /// Records that the coordinator granted a request for the short contact sent at `asked`.
-    pub fn granted(&mut self, asked: Timestamp) {
-        self.granted = self.granted.max(Some(asked));
+    /// Records that the coordinator granted a request for the short contact sent at `sent_at`.
+    pub fn granted(&mut self, sent_at: Timestamp) {
+        self.granted = self.granted.max(Some(sent_at));
     }
 
-    fn note_reply(&mut self, asked: Timestamp) {
-        if self.was_ever_in_contact() && !self.holds(asked) {
-            self.regained = Some(asked);
+    fn note_reply(&mut self, sent_at: Timestamp) {
+        if self.was_ever_in_contact() && !self.holds(sent_at) {
+            self.regained = Some(sent_at);
         }
     }
 
@@ -112,7 +112,7 @@
 
     fn has_short_contact(&self, now: Timestamp) -> bool {
         let short = self.granted.max(self.majority);
-        short.is_some_and(|asked| now.saturating_since(asked) < SHORT_HOLDS)
+        short.is_some_and(|sent_at| now.saturating_since(sent_at) < SHORT_HOLDS)
     }
 
     fn is_catching_up(&self, now: Timestamp) -> bool {
@@ -133,7 +133,7 @@
 
     /// Time since the last request for the short contact that was granted; `None` before the first grant.
     pub fn granted_age(&self, now: Timestamp) -> Option<Duration> {
-        self.granted.map(|asked| now.saturating_since(asked))
+        self.granted.map(|sent_at| now.saturating_since(sent_at))
     }
 
     /// True when the last grant is so old that the node should request the short contact from further nodes, not
@@ -145,20 +145,21 @@
 
     /// Time since the last request that the store replied to; `None` before its first reply.
     pub fn store_age(&self, now: Timestamp) -> Option<Duration> {
-        self.store.map(|asked| now.saturating_since(asked))
+        self.store.map(|sent_at| now.saturating_since(sent_at))
     }
 
     /// Time since the last poll that more than half of the nodes replied to; `None` before the first one.
     pub fn majority_age(&self, now: Timestamp) -> Option<Duration> {
-        self.majority.map(|asked| now.saturating_since(asked))
+        self.majority.map(|sent_at| now.saturating_since(sent_at))
     }
 
     /// When the other nodes should be polled next, given the time of the last poll; `None` before the store's
     /// first reply.
-    pub fn ask_nodes_at(&self, last_asked: Option<Timestamp>) -> Option<Timestamp> {
+    pub fn ask_nodes_at(&self, last_polled: Option<Timestamp>) -> Option<Timestamp> {
         let store_late = self.store? + POLL_NODES_AFTER;
-        let after =
-            |due: Timestamp, interval| last_asked.map_or(due, |asked| due.max(asked + interval));
+        let after = |due: Timestamp, interval| {
+            last_polled.map_or(due, |sent_at| due.max(sent_at + interval))
+        };
         let grant_late = self
             .granted
             .map_or(Timestamp::ZERO, |at| at + GRANT_LATE_AFTER);
