--- a/crates/dyketally/src/eligibility/evacuations.rs
+++ b/crates/dyketally/src/eligibility/evacuations.rs
@@ -1,4 +1,4 @@
-//! Zones whose databases get nothing more, by the operators' request.
+//! The zones that operators have requested to evacuate: their databases get no more statements.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,67 +6,68 @@
 use crate::identifiers::ZoneName;
 use crate::time::Timestamp;
 
-/// The zones that are evacuated, and since when.
+/// The evacuated zones, each with the start of its evacuation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
-    zones: BTreeMap<ZoneName, Since>,
+    zones: BTreeMap<ZoneName, Start>,
 }
 
 /// Since when a zone has been evacuated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Since {
-    /// The request came at this time.
+enum Start {
+    /// This node received the request at this time.
     Requested(Timestamp),
-    /// The request stood already when this node looked, perhaps for long.
+    /// The request was already active when this node read the list of requests; its age is unknown.
     Unknown,
 }
 
-/// What changed.
+/// A change to the set of evacuated zones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EvacuationChange {
-    /// A zone is evacuated from now on.
+    /// The evacuation of this zone has begun.
     Began(ZoneName),
-    /// A zone is used again.
+    /// The evacuation of this zone has ended: its databases are used again.
     Ended(ZoneName),
 }
 
 impl Evacuations {
-    /// Records a request to evacuate a zone. One that is known already keeps its time.
+    /// Records a request to evacuate a zone. A request that is already known keeps its start.
     pub fn requested(&mut self, now: Timestamp, zone: ZoneName) -> Option<EvacuationChange> {
         if self.zones.contains_key(&zone) {
             return None;
         }
-        self.zones.insert(zone.clone(), Since::Requested(now));
+        self.zones.insert(zone.clone(), Start::Requested(now));
         Some(EvacuationChange::Began(zone))
     }
 
-    /// Records that a zone is taken back.
+    /// Records that the request to evacuate a zone was withdrawn.
     pub fn taken_back(&mut self, zone: &ZoneName) -> Option<EvacuationChange> {
         let removed = self.zones.remove(zone);
         removed.map(|_| EvacuationChange::Ended(zone.clone()))
     }
 
-    /// Records all requests that stand: those it lacks were taken back. A request that is new here
-    /// may be old: the node has just started, or heard nothing for a while.
-    pub fn replaced(&mut self, standing: &BTreeSet<ZoneName>) -> Vec<EvacuationChange> {
-        let ended = self.zones.keys().filter(|zone| !standing.contains(*zone));
+    /// Replaces the requests by the `active` ones; requests that are missing from it were withdrawn. The age of
+    /// a request that is new to this node is unknown: the node may have just started, or been without contact.
+    pub fn replaced(&mut self, active: &BTreeSet<ZoneName>) -> Vec<EvacuationChange> {
+        let ended = self.zones.keys().filter(|zone| !active.contains(*zone));
         let ended: Vec<ZoneName> = ended.cloned().collect();
         let mut changes: Vec<EvacuationChange> = Vec::new();
         changes.extend(ended.iter().filter_map(|zone| self.taken_back(zone)));
-        for zone in standing {
+        for zone in active {
             if !self.contains(zone) {
-                self.zones.insert(zone.clone(), Since::Unknown);
+                self.zones.insert(zone.clone(), Start::Unknown);
                 changes.push(EvacuationChange::Began(zone.clone()));
             }
         }
         changes
     }
 
-    /// For how long a zone has been evacuated, if it is; the longest time there is if that isn't known.
+    /// Time since the evacuation of a zone began; [`Duration::MAX`] if its start is unknown, `None` if the zone
+    /// isn't evacuated.
     pub fn evacuated_for(&self, zone: &ZoneName, now: Timestamp) -> Option<Duration> {
         Some(match self.zones.get(zone)? {
-            Since::Requested(at) => now.saturating_since(*at),
-            Since::Unknown => Duration::MAX,
+            Start::Requested(at) => now.saturating_since(*at),
+            Start::Unknown => Duration::MAX,
         })
     }
 
@@ -75,7 +76,7 @@
         self.zones.contains_key(zone)
     }
 
-    /// The zones that are evacuated.
+    /// The evacuated zones.
     pub fn zones(&self) -> impl Iterator<Item = &ZoneName> {
         self.zones.keys()
     }
--- a/crates/dyketally/src/eligibility/mod.rs
+++ b/crates/dyketally/src/eligibility/mod.rs
@@ -1,8 +1,8 @@
-//! Eligibility: whether a statement may run at a database now, and whether its text may pass through
-//! a node.
+//! Eligibility: whether a statement may run at a database now, and whether its text may pass through a
+//! node.
 //!
-//! Every path that sends something to a database asks [`judge`], and sends it with the
-//! [`Permission`] that it got: a path that forgets to ask doesn't compile.
+//! Every path that sends something to a database has to present a [`Permission`]. [`judge`] issues it for
+//! callers' statements, so a path that skips the check doesn't compile.
 
 mod evacuations;
 mod moves;
@@ -18,27 +18,30 @@
 pub use preference::{Demand, best_regions, preferred_region};
 pub use regions::ServingRegions;
 
-/// Share of the drain bound for which a leaving primary still gets work when nobody succeeds it.
-const LEAVING_PRIMARY_SHARE: f64 = 0.6;
-/// Share of the evacuation bound for which a primary in an evacuated zone still gets work: a planned
-/// handover takes about a second, and the news of the evacuation up to another one.
-const EVACUATED_PRIMARY_SHARE: f64 = 0.35;
-/// Share of the evacuation bound for which transactions that are open there go on.
-const EVACUATED_TRANSACTION_SHARE: f64 = 0.5;
-
-/// What is to be sent to a database.
+/// Fraction of [`EligibilityBounds::drain`] for which a leaving primary without a successor still gets new
+/// statements.
+const LEAVING_PRIMARY_FRACTION: f64 = 0.6;
+/// Fraction of [`EligibilityBounds::evacuation`] for which a primary in an evacuated zone still gets new
+/// statements. A planned handover takes about a second, and the request to evacuate may take up to another
+/// second to arrive.
+const EVACUATED_PRIMARY_FRACTION: f64 = 0.35;
+/// Fraction of [`EligibilityBounds::evacuation`] for which open transactions in an evacuated zone may continue.
+const EVACUATED_TRANSACTION_FRACTION: f64 = 0.5;
+
+/// What a statement requires of the database that it is to be sent to.
 #[derive(Clone, Debug)]
 pub struct Intent {
-    /// Where it may run, by its route and its tenant.
+    /// The regions in which the statement may run, by its route and its tenant.
     pub regions: ServingRegions,
-    /// True when only a leading database may answer it.
+    /// True when only a leading database (the primary) may answer the statement.
     pub needs_leader: bool,
-    /// False within a transaction that is open at the database.
+    /// True for a single statement or the first one of a transaction; false within a transaction that is open at
+    /// the database.
     pub begins: bool,
 }
 
 impl Intent {
-    /// A single statement, or the first one of a transaction.
+    /// For a single statement, or the first one of a transaction.
     pub fn first(regions: &ServingRegions, needs_leader: bool) -> Self {
         Self {
             regions: regions.clone(),
@@ -47,7 +50,8 @@
         }
     }
 
-    /// A further statement of a transaction: what the configuration allowed as it began binds it.
+    /// For a further statement of a transaction. Its region isn't checked again: the transaction keeps what the
+    /// configuration allowed when it began.
     pub fn further(needs_leader: bool) -> Self {
         Self {
             regions: ServingRegions::anywhere(),
@@ -57,87 +61,91 @@
     }
 }
 
-/// How a database stands.
+/// The state of a database, as far as eligibility depends on it.
 #[derive(Clone, Copy, Debug)]
 pub struct Standing<'a> {
-    /// The database.
+    /// Name of the database.
     pub database: &'a DatabaseName,
-    /// The region that it runs in.
+    /// The region that the database runs in.
     pub region: &'a RegionName,
-    /// True while it may be replaced by another primary.
+    /// True while the database is fenced: another primary may be replacing it.
     pub fenced: bool,
-    /// For how long it has been leaving, if it is.
+    /// Time since the database announced that it is leaving; `None` while it isn't.
     pub leaving_for: Option<Duration>,
-    /// For how long its zone has been evacuated, if it is.
+    /// Time since the evacuation of the database's zone began; `None` while the zone isn't evacuated.
     pub evacuated_for: Option<Duration>,
-    /// True when another database of the group could take over.
+    /// True when another database of the group could take over as the primary.
     pub has_successor: bool,
 }
 
-/// How long a database may get work after it shouldn't any more.
+/// Upper bounds on the time for which a database that is to be emptied may still get statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EligibilityBounds {
-    /// From the time at which a database says that it leaves.
+    /// Bound from the time at which a database announces that it is leaving.
     pub drain: Duration,
-    /// From the time at which an evacuation was requested.
+    /// Bound from the time at which the evacuation of the database's zone was requested.
     pub evacuation: Duration,
 }
 
-/// Leave to send one batch to one database. It is used up by sending.
+/// Permission to send one batch to one database. Sending consumes it.
 #[derive(Debug)]
-#[must_use = "a permission is given to whoever sends"]
+#[must_use = "pass the permission to the call that sends the batch"]
 pub struct Permission {
     database: DatabaseName,
 }
 
 impl Permission {
-    /// For what the gateway asks on its own behalf and that runs nothing of callers: a database's
-    /// status, the steps of a succession, the end of a transaction.
+    /// A permission without a check, for requests that the gateway sends on its own behalf and that run no
+    /// caller's statement: a database's status, the steps of a failover, the end of a transaction.
     pub fn control(database: &DatabaseName) -> Self {
         Self {
             database: database.clone(),
         }
     }
 
-    /// True when it is for `database`.
+    /// True when the permission is for `database`.
     pub fn is_for(&self, database: &DatabaseName) -> bool {
         &self.database == database
     }
 }
 
-/// Why a statement may not run at a database.
+/// The reason for which a statement may not run at a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Denial {
     /// No database is known to lead the group.
     #[error("no database is known to lead the group; wait until one is appointed")]
     Leaderless,
-    /// The database may be replaced at this moment.
+    /// The database is fenced: another primary may be replacing it.
     #[error("the primary is being replaced; wait until another one leads")]
     BeingReplaced,
-    /// The database leaves.
+    /// The database is leaving.
     #[error("the database is leaving; use another one")]
     Leaving,
-    /// The database's zone is evacuated, and another database can take over.
+    /// The database's zone is evacuated, and another database could take over.
     #[error("the database's zone is evacuated; wait until another one leads")]
     Evacuated,
-    /// The database's zone is evacuated, and no database elsewhere can take over.
+    /// The database's zone is evacuated, and no database could take over.
     #[error(
-        "all databases that could serve it are in evacuated zones; take a zone back or add a database elsewhere"
+        "all databases that could run the statement are in evacuated zones; end the evacuation of a zone \
+         or add a database in another zone"
     )]
     EvacuatedEverywhere,
-    /// The database has just started and takes nothing more from this node for now, see
+    /// The database has just started and accepts no more requests from this node for now, see
     /// [`crate::slow_start`].
-    #[error("the database has just started and bears no more for now; come back in a moment")]
+    #[error(
+        "the database has just started and accepts no more statements from this node for now; retry in a moment"
+    )]
     Cold,
-    /// The database isn't in a region that serves the route and the tenant.
+    /// The database's region isn't a serving region of both the route and the tenant.
     #[error(
-        "no database of the group may serve it in the regions of its route and tenant; widen their serving regions or move the primary into them"
+        "no database of the group may run the statement in the serving regions of its route and tenant; \
+         widen these regions or move the primary into them"
     )]
     OutsideRegions,
 }
 
 impl Denial {
-    /// True when waiting for a moment won't help.
+    /// True when the reason doesn't go away by itself within moments, so that waiting is useless.
     pub fn is_lasting(self) -> bool {
         match self {
             Self::EvacuatedEverywhere | Self::OutsideRegions => true,
@@ -149,7 +157,7 @@
         }
     }
 
-    /// The kind, for counters.
+    /// Name of the reason, as counters report it.
     pub fn kind(self) -> &'static str {
         match self {
             Self::Leaderless => "leaderless",
@@ -163,10 +171,11 @@
     }
 }
 
-/// Whether what `intent` tells may be sent to a database that stands as `standing` tells.
+/// Checks whether a statement with the requirements `intent` may be sent to the database described by
+/// `standing`, and issues the permission to send it.
 ///
 /// # Errors
-/// Why it may not.
+/// The reason for which the statement may not run at the database.
 pub fn judge(
     intent: &Intent,
     standing: Standing<'_>,
@@ -195,25 +204,27 @@
     Ok(Permission::control(standing.database))
 }
 
-/// For how long a database of an evacuated zone gets what `intent` tells. Replicas get nothing new at
-/// once, since others serve reads as well.
+/// Time since the request to evacuate for which a database in the evacuated zone still gets statements with the
+/// requirements `intent`. Zero for new statements at replicas, since replicas in other zones can run reads.
 fn evacuation_grace(intent: &Intent, bounds: EligibilityBounds) -> Duration {
     match (intent.begins, intent.needs_leader) {
         (true, false) => Duration::ZERO,
-        (true, true) => bounds.evacuation.mul_f64(EVACUATED_PRIMARY_SHARE),
-        (false, _) => bounds.evacuation.mul_f64(EVACUATED_TRANSACTION_SHARE),
+        (true, true) => bounds.evacuation.mul_f64(EVACUATED_PRIMARY_FRACTION),
+        (false, _) => bounds.evacuation.mul_f64(EVACUATED_TRANSACTION_FRACTION),
     }
 }
 
+/// Time since a database announced that it is leaving for which it still gets new statements with the
+/// requirements `intent`.
 fn drain_grace(intent: &Intent, bounds: EligibilityBounds) -> Duration {
     match intent.needs_leader {
-        true => bounds.drain.mul_f64(LEAVING_PRIMARY_SHARE),
+        true => bounds.drain.mul_f64(LEAVING_PRIMARY_FRACTION),
         false => Duration::ZERO,
     }
 }
 
-/// True when the text of a statement that `regions` bind may pass through a node in `node`. The node
-/// that its caller is connected to may hold it wherever it is, and isn't asked about.
+/// True when the text of a statement that is limited to `regions` may pass through a node in the region `node`.
+/// Not to be called for the node that the caller is connected to: that node may hold the text in any region.
 pub fn may_pass(regions: &ServingRegions, node: &RegionName) -> bool {
     regions.allows(node)
 }
--- a/crates/dyketally/src/eligibility/preference.rs
+++ b/crates/dyketally/src/eligibility/preference.rs
@@ -1,55 +1,56 @@
-//! Where the primary of a group serves most of what may ask for it.
+//! Selects the region in which the primary of a group can serve the most of its callers' demand.
 
 use crate::identifiers::RegionName;
 
 use super::ServingRegions;
 
-/// A primary is moved only if that serves at least so many times what it serves where it is: each
-/// move interrupts writes for about a second.
-const WORTH_MOVING: f64 = 1.25;
+/// A primary is moved only if the demand served in the new region is more than this factor times the demand
+/// served in the current one. Each move interrupts writes for about a second.
+const MIN_MOVE_GAIN: f64 = 1.25;
 
-/// Callers that are served in the same regions.
+/// The demand of callers with the same serving regions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
-    /// Where they may be served.
+    /// The regions in which these callers' statements may run.
     pub regions: ServingRegions,
-    /// How much they may ask for, relative to others; operations a second where that is known.
+    /// Greatest load that these callers may cause, relative to other demands; operations per second if known.
     pub weight: f64,
 }
 
-/// The region among `candidates` in which a primary should lead rather than in `current`; `None`
-/// while it should stay. Depends on the configuration only, so that it doesn't change its mind with
-/// the load.
+/// The region among `candidates` to which a primary in `current` should be moved; `None` if it should stay. The
+/// result depends on the configuration only, so that it doesn't fluctuate with the load.
 pub fn preferred_region(
     demands: &[Demand],
     current: &RegionName,
     candidates: &[RegionName],
 ) -> Option<RegionName> {
-    let here = served(demands, current);
+    let current_weight = served_weight(demands, current);
     let others = candidates.iter().filter(|region| *region != current);
-    let ranked = others.map(|region| (served(demands, region), region));
-    // Of equals the first by name, so that all nodes choose alike.
+    let ranked = others.map(|region| (served_weight(demands, region), region));
+    // Of regions with equal demand, the first by name is selected, so that all nodes select the same one.
     let best = ranked.max_by(|(one, first), (other, second)| {
-        let by_served = one.total_cmp(other);
-        by_served.then_with(|| second.cmp(first))
+        let by_weight = one.total_cmp(other);
+        by_weight.then_with(|| second.cmp(first))
     });
-    let (there, region) = best?;
-    (there > here * WORTH_MOVING).then(|| region.clone())
+    let (best_weight, region) = best?;
+    (best_weight > current_weight * MIN_MOVE_GAIN).then(|| region.clone())
 }
 
-/// The regions among `candidates` from which a primary that leads there wouldn't be moved again: those
-/// that serve the most, and others that come close.
+/// The regions among `candidates` from which a primary would not be moved again: those with the greatest served
+/// demand, and those within a factor of [`MIN_MOVE_GAIN`] of it.
 pub fn best_regions(demands: &[Demand], candidates: &[RegionName]) -> Vec<RegionName> {
-    let most = candidates.iter().map(|region| served(demands, region));
+    let most = candidates
+        .iter()
+        .map(|region| served_weight(demands, region));
     let most = most.fold(0.0, f64::max);
     let close = candidates
         .iter()
-        .filter(|region| served(demands, region) * WORTH_MOVING >= most);
+        .filter(|region| served_weight(demands, region) * MIN_MOVE_GAIN >= most);
     close.cloned().collect()
 }
 
-/// How much of what may ask for a primary is served where it leads in `region`.
-fn served(demands: &[Demand], region: &RegionName) -> f64 {
+/// Total weight of the demands that a primary in `region` may serve.
+fn served_weight(demands: &[Demand], region: &RegionName) -> f64 {
     let allowed = demands.iter().filter(|it| it.regions.allows(region));
     allowed.map(|demand| demand.weight).sum()
 }
--- a/crates/dyketally/src/eligibility/regions.rs
+++ b/crates/dyketally/src/eligibility/regions.rs
@@ -1,4 +1,4 @@
-//! The regions that may serve a route or a tenant.
+//! The serving regions of a route or a tenant: the regions in which its statements may run.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,7 +6,7 @@
 
 use crate::identifiers::RegionName;
 
-/// Regions that may serve something: all of them, or some. Cheap to clone.
+/// A set of serving regions: all regions, or named ones. Cheap to clone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServingRegions(Option<Arc<BTreeSet<RegionName>>>);
 
@@ -16,22 +16,22 @@
         Self(None)
     }
 
-    /// Just `regions`; none of them if it is empty.
+    /// Only `regions`; no region at all if `regions` is empty.
     pub fn only(regions: impl IntoIterator<Item = RegionName>) -> Self {
         Self(Some(Arc::new(regions.into_iter().collect())))
     }
 
-    /// True when no region is ruled out.
+    /// True when all regions may serve.
     pub fn is_anywhere(&self) -> bool {
         self.0.is_none()
     }
 
     /// True when `region` may serve.
     pub fn allows(&self, region: &RegionName) -> bool {
-        self.0.as_ref().is_none_or(|own| own.contains(region))
+        self.0.as_ref().is_none_or(|set| set.contains(region))
     }
 
-    /// The regions that both allow.
+    /// The regions that both sets allow.
     pub fn and(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (None, _) => other.clone(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The regions by name; nothing while all serve.
+    /// The named regions; yields nothing if all regions may serve.
     pub fn named(&self) -> impl Iterator<Item = &RegionName> {
         self.0.iter().flat_map(|regions| regions.iter())
     }
