--- a/crates/dyketally/src/group/confirmation/mod.rs
+++ b/crates/dyketally/src/group/confirmation/mod.rs
@@ -1,15 +1,14 @@
-//! Confirmation rounds: proof, before a caller is answered, that the primary has not been replaced.
+//! Confirmation rounds prove, before a caller is answered, that the primary has not been replaced.
 //!
-//! A write is confirmed when a majority of the group, the primary among them, was asked *after*
-//! the write completed and answered in the primary's own term, holding the write. Any later
-//! election needs the vote of one of these members, which holds the write and denies its vote to
-//! candidates that don't. A read is confirmed when a majority that was asked after the read
-//! arrived answered in the primary's term: no primary of a higher term was elected before that.
+//! A write is confirmed when a majority of the group, including the primary, was probed *after* the write
+//! completed and answered in the primary's own term, holding the write. Any later election needs the vote
+//! of one of these members, which holds the write and denies its vote to candidates that don't. A read is
+//! confirmed when a majority that was probed after the read arrived answered in the primary's term: no
+//! primary of a higher term was elected before the probes.
 //!
-//! Answers count by the round in which they were asked, not by the time they arrive, so late and
-//! reordered answers are harmless. Only answers in exactly the primary's term support an item:
-//! a member with a lower term (one that lags far behind, or that was restarted empty and forgot
-//! its vote) proves nothing.
+//! An answer counts by the round of its probe, not by the time it arrives, so late and reordered answers are
+//! harmless. Only answers in exactly the primary's term support an item: a member with a lower term (one
+//! that lags far behind, or that was restarted empty and has lost its vote) proves nothing.
 
 mod item;
 mod member;
@@ -17,39 +16,39 @@
 use std::time::Duration;
 
 use item::Waiting;
-use member::{Member, Question};
+use member::{Member, Probe};
 
 use super::{LogPosition, MemberStatus, Role, Term};
 use crate::identifiers::DatabaseName;
 use crate::policy::Confirmation;
 use crate::time::Timestamp;
 
-/// Number of a confirmation round at one home; grows by one with each round.
+/// Number of a confirmation round at one home node. Increases by one with each round.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RoundNumber(pub u64);
 
-/// A round to run: ask each of `members` for its status now.
+/// A round to run: request the status of each of `members` now.
 ///
-/// Each member asked must be followed by exactly one [`Confirmations::answered`] or
+/// Each of these probes has to be followed by exactly one call of [`Confirmations::answered`] or
 /// [`Confirmations::failed`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Round {
     /// The round's number.
     pub number: RoundNumber,
-    /// Whom to ask.
+    /// The members to probe.
     pub members: Vec<DatabaseName>,
 }
 
-/// Bounds on the status questions that rounds put to a member.
+/// Bounds on the probes (status requests) that rounds send to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbePacing {
-    /// Unanswered questions to one member at a time. A member that doesn't answer is left out of
-    /// further rounds once it has as many.
+    /// Greatest number of unanswered probes of one member. A member that doesn't answer is left out of further
+    /// rounds once it has this many.
     pub in_flight: usize,
-    /// Least time between two questions about the same item to one member.
+    /// Least time between two probes of one member for the same item.
     pub repeat_interval: Duration,
-    /// A question that was neither answered nor reported as failed for so long is forgotten, so
-    /// that a lost report doesn't keep a member out of rounds for ever.
+    /// Time after which a probe that was neither answered nor reported as failed is forgotten, so that a lost
+    /// report doesn't exclude a member from rounds for ever.
     pub forget_after: Duration,
 }
 
@@ -66,42 +65,42 @@
 /// A write that the primary has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedWrite {
-    /// The term in which this member was known to lead before the write was sent.
+    /// The term in which the primary was known to lead before the write was sent.
     pub sent_in: Term,
-    /// The member's status, asked behind the write on the write's own connection.
+    /// The primary's status, requested after the write on the write's own connection.
     pub behind: MemberStatus,
-    /// What is to be confirmed.
+    /// What a majority has to confirm.
     pub mode: Confirmation,
-    /// When to give up.
+    /// When the write ends as [`Verdict::NotConfirmed`].
     pub deadline: Timestamp,
 }
 
-/// What became of an item.
+/// The result of confirming an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Confirmed; the session has seen this position.
+    /// The item is confirmed; the session has now seen this log position.
     Confirmed(LogPosition),
-    /// Another member was elected, in `higher_term` if that is known to be above the item's own.
+    /// The primary was replaced: another member was elected, in `higher_term` if that is above the item's term.
     Deposed {
         /// The highest term that was reported.
         higher_term: Term,
     },
-    /// Not confirmed before the deadline.
+    /// The item was not confirmed before its deadline.
     NotConfirmed,
 }
 
 /// An item that needs no more rounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resolved<Item> {
-    /// The caller's handle of the write or read.
+    /// The home node's handle of the write or read.
     pub item: Item,
-    /// What became of it.
+    /// The result of confirming the item.
     pub verdict: Verdict,
 }
 
 /// Confirms the writes and reads of one member that claims to be the primary.
 ///
-/// `Item` is the home's handle of a write or read that waits.
+/// `Item` is the home node's handle of a write or read that waits to be confirmed.
 #[derive(Clone, Debug)]
 pub struct Confirmations<Item> {
     primary: DatabaseName,
@@ -113,7 +112,7 @@
 }
 
 impl<Item> Confirmations<Item> {
-    /// Confirmations for `primary`, a member of the group of `members`.
+    /// Creates the confirmations for `primary`, one of the group's `members`.
     pub fn new(
         primary: DatabaseName,
         members: impl IntoIterator<Item = DatabaseName>,
@@ -129,7 +128,7 @@
         }
     }
 
-    /// Replaces the group's members. Support by members that are gone no longer counts.
+    /// Replaces the group's members. Answers of removed members no longer count.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = DatabaseName>) {
         let mut known = std::mem::take(&mut self.members);
         for name in members {
@@ -144,13 +143,13 @@
             item.supporters.retain(&stays);
             item.opponents.retain(&stays);
         }
-        self.settle();
+        self.move_resolved();
     }
 
-    /// Takes a write whose reply, and the status asked behind it, have been read in full.
+    /// Adds a write whose reply has been read in full, together with the status requested after it.
     ///
-    /// The status must show the primary still in the term in which the write was sent. A member
-    /// that was deposed and elected again in between may have cut the write off its log.
+    /// The status has to show that the primary still leads in the term in which the write was sent. A member
+    /// that was deposed and elected again in between may have truncated the write from its log.
     pub fn write_finished(&mut self, item: Item, write: FinishedWrite) {
         let FinishedWrite {
             sent_in, behind, ..
@@ -171,51 +170,51 @@
         waiting.seen = Some(behind.log);
         waiting.supporters.push(self.primary.clone());
         self.waiting.push(waiting);
-        self.settle();
+        self.move_resolved();
     }
 
-    /// Takes a read that must be current. It may run meanwhile; its reply waits for the verdict.
+    /// Adds a read that must be current. It may run while it is being confirmed; its reply waits for the result.
     ///
-    /// `term` is the term in which this member is known to lead.
+    /// `term` is the term in which the primary is known to lead.
     pub fn read_arrived(&mut self, item: Item, term: Term, deadline: Timestamp) {
         let waiting = self.new_item(item, term, deadline);
         self.waiting.push(waiting);
     }
 
-    /// Begins a round if an item waits for one that may begin now.
+    /// Begins a round if at least one member is due to be probed now.
     pub fn start_round(&mut self, now: Timestamp) -> Option<Round> {
         let number = self.next_round;
-        let mut asked = Vec::new();
+        let mut probed = Vec::new();
         for member in &mut self.members {
             member
                 .outstanding
-                .retain(|question| question.asked_at + self.pacing.forget_after > now);
+                .retain(|probe| probe.sent_at + self.pacing.forget_after > now);
             let due = self.waiting.iter().any(|item| {
                 member
-                    .ask_at(item, self.pacing, now)
+                    .probe_at(item, self.pacing, now)
                     .is_some_and(|at| at <= now)
             });
             if due {
-                let asked_at = now;
-                member.outstanding.push(Question {
+                let sent_at = now;
+                member.outstanding.push(Probe {
                     round: number,
-                    asked_at,
+                    sent_at,
                 });
-                member.last_asked = Some((number, now));
-                asked.push(member.name.clone());
+                member.last_probe = Some((number, now));
+                probed.push(member.name.clone());
             }
         }
-        if asked.is_empty() {
+        if probed.is_empty() {
             return None;
         }
         self.next_round = RoundNumber(number.0 + 1);
         Some(Round {
             number,
-            members: asked,
+            members: probed,
         })
     }
 
-    /// Takes the status that `member` was asked for in `round`.
+    /// Records the status that `member` reported to its probe of `round`.
     pub fn answered(&mut self, round: RoundNumber, member: &DatabaseName, status: MemberStatus) {
         if !self.close_probe(round, member) {
             return;
@@ -223,18 +222,18 @@
         let is_primary = member == &self.primary;
         for item in &mut self.waiting {
             if item.first_round <= round {
-                item.judge(member, is_primary, status);
+                item.count_answer(member, is_primary, status);
             }
         }
-        self.settle();
+        self.move_resolved();
     }
 
-    /// Notes that `member` gave no answer in `round`.
+    /// Records that the probe of `member` in `round` got no answer.
     pub fn failed(&mut self, round: RoundNumber, member: &DatabaseName) {
         self.close_probe(round, member);
     }
 
-    /// Returns the items that are resolved by now.
+    /// Returns the items that have been resolved since the last call, overdue ones included.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Resolved<Item>> {
         let overdue = self.waiting.extract_if(.., |item| item.deadline <= now);
         let overdue = overdue.map(|waiting| Resolved {
@@ -251,15 +250,15 @@
             return Some(now);
         }
         let deadlines = self.waiting.iter().map(|item| item.deadline);
-        let questions = self.waiting.iter().flat_map(|item| {
+        let probes = self.waiting.iter().flat_map(|item| {
             self.members
                 .iter()
-                .filter_map(move |member| member.ask_at(item, self.pacing, now))
+                .filter_map(move |member| member.probe_at(item, self.pacing, now))
         });
-        deadlines.chain(questions).min()
+        deadlines.chain(probes).min()
     }
 
-    /// Number of items that wait.
+    /// Number of items that wait to be confirmed.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
@@ -279,21 +278,23 @@
         }
     }
 
-    /// Ends the wait for an answer; false when that question was never put or is over already.
+    /// Removes an outstanding probe; false when `member` has none of that round.
     fn close_probe(&mut self, round: RoundNumber, member: &DatabaseName) -> bool {
         let member = self.members.iter_mut().find(|known| &known.name == member);
         let Some(member) = member else {
             return false;
         };
-        let open = member
+        let position = member
             .outstanding
             .iter()
-            .position(|open| open.round == round);
-        open.map(|position| member.outstanding.remove(position))
+            .position(|probe| probe.round == round);
+        position
+            .map(|position| member.outstanding.remove(position))
             .is_some()
     }
 
-    fn settle(&mut self) {
+    /// Moves the items whose result is known to `resolved`.
+    fn move_resolved(&mut self) {
         let members = self.members.len();
         let settled = self
             .waiting
--- a/crates/dyketally/src/group/mod.rs
+++ b/crates/dyketally/src/group/mod.rs
@@ -1,4 +1,7 @@
 //! A database group as its members report it: roles, terms and log positions.
+//!
+//! [`GroupView`] keeps the members' last known status and derives which member leads. [`Confirmations`] confirms,
+//! before a caller is answered, that the member has not been replaced as the primary.
 
 mod confirmation;
 mod view;
@@ -26,9 +29,9 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct LogPosition {
-    /// Term of the last entry of the log (a timeline, in PostgreSQL's words).
+    /// Term of the last entry of the log; PostgreSQL calls it a timeline.
     pub term: Term,
-    /// Offset of the end of the log. Grows within a term; unit as the database reports it.
+    /// Offset of the end of the log, in the unit that the database reports. Grows within a term.
     pub offset: u64,
 }
 
@@ -39,21 +42,21 @@
     }
 }
 
-/// The role a database claims. A deposed primary may still claim to be the primary.
+/// The role that a database claims to have. A deposed primary may still claim to be the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// Accepts writes.
+    /// The database accepts writes.
     Primary,
-    /// Follows a primary and serves reads.
+    /// The database follows a primary and serves reads.
     Replica,
 }
 
-/// What a database answers to the status statement.
+/// A database's answer to the status statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The role the database believes it has.
     pub role: Role,
-    /// The highest term the database has heard of or voted in.
+    /// The highest term that the database knows of or has voted in.
     pub term: Term,
     /// The end of the database's log.
     pub log: LogPosition,
--- a/crates/dyketally/src/group/view.rs
+++ b/crates/dyketally/src/group/view.rs
@@ -1,4 +1,4 @@
-//! What a home knows of the members of its group, and who leads.
+//! The members of a group as their home node knows them, and which of them leads.
 
 use std::collections::BTreeMap;
 
@@ -6,28 +6,28 @@
 use crate::identifiers::DatabaseName;
 use crate::time::Timestamp;
 
-/// A member's status with the time at which it was asked for.
+/// A member's status, with the times at which it was requested and received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeenStatus {
-    /// What the member answered.
+    /// The status that the member reported.
     pub status: MemberStatus,
-    /// When it was asked: the answer is at least as new as this.
+    /// When the status was requested; it is at least as new as this.
     pub asked_at: Timestamp,
     /// When the answer arrived.
     pub answered_at: Timestamp,
 }
 
-/// A change in the group that others act on.
+/// A change of a group's primary or term.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupEvent {
-    /// Another member leads, or none is known to.
+    /// Another member leads, or no member is known to lead any more.
     PrimaryChanged {
-        /// The member that leads now and its term.
+        /// The member that leads now, and its term; `None` when no leader is known.
         primary: Option<(DatabaseName, Term)>,
     },
-    /// A higher term was heard of.
+    /// A member reported a higher term than any before.
     TermRaised {
-        /// That term.
+        /// The higher term.
         term: Term,
     },
 }
@@ -40,7 +40,7 @@
 }
 
 impl GroupView {
-    /// A view of `members`, none of which has answered yet.
+    /// Creates a view of `members` in which no member has reported a status.
     pub fn new(members: impl IntoIterator<Item = DatabaseName>) -> Self {
         let members = members.into_iter().map(|member| (member, None)).collect();
         let highest_term = Term::default();
@@ -50,24 +50,24 @@
         }
     }
 
-    /// Replaces the members; what is known of members that stay is kept.
+    /// Replaces the members. The status of members that remain is kept.
     pub fn set_members(
         &mut self,
         members: impl IntoIterator<Item = DatabaseName>,
     ) -> Vec<GroupEvent> {
         let before = self.primary();
-        let mut known = std::mem::take(&mut self.members);
+        let mut former = std::mem::take(&mut self.members);
         for member in members {
-            let status = known.remove(&member).flatten();
+            let status = former.remove(&member).flatten();
             self.members.insert(member, status);
         }
         self.primary_change(before).into_iter().collect()
     }
 
-    /// Takes a status that `member` was asked for at `asked_at`.
+    /// Records a status of `member` that was requested at `asked_at`.
     ///
-    /// An answer to an earlier question than the one held is dropped, as answers of several
-    /// connections may overtake each other. Its term still counts.
+    /// If the status held was requested later, the new one is dropped, since answers on different connections
+    /// may overtake each other; its term still counts.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -96,7 +96,7 @@
         events
     }
 
-    /// Forgets what `member` reported: its connection broke, so it may have been restarted.
+    /// Forgets the status of `member`: its connection broke, so it may have been restarted.
     pub fn lost(&mut self, member: &DatabaseName) -> Vec<GroupEvent> {
         let before = self.primary();
         if let Some(held) = self.members.get_mut(member) {
@@ -105,18 +105,19 @@
         self.primary_change(before).into_iter().collect()
     }
 
-    /// The member that claims to be the primary in the highest term claimed, and that term.
+    /// Of the members that claim to be the primary, the one with the highest term, and that term.
     ///
-    /// `None` when a majority reports a higher term: that claim can't be confirmed any more.
+    /// `None` when no member claims it, or when a majority reports a higher term: the claim can then no longer be
+    /// confirmed.
     pub fn primary(&self) -> Option<(DatabaseName, Term)> {
         let (primary, term) = self.highest_claim()?;
-        let moved_on = self
+        let with_higher_term = self
             .members
             .values()
             .flatten()
             .filter(|seen| seen.status.term > term)
             .count();
-        (moved_on < self.majority()).then(|| (primary.clone(), term))
+        (with_higher_term < self.majority()).then(|| (primary.clone(), term))
     }
 
     /// The highest term that any member reported.
@@ -129,7 +130,7 @@
         self.members.get(member).copied().flatten()
     }
 
-    /// The members.
+    /// The names of the members.
     pub fn members(&self) -> impl Iterator<Item = &DatabaseName> {
         self.members.keys()
     }
