--- a/crates/dyketally/src/retry/budget.rs
+++ b/crates/dyketally/src/retry/budget.rs
@@ -1,10 +1,12 @@
-//! Token bucket that fresh work fills and retries empty.
+//! The retry budget: a token bucket that fresh statements fill and retries drain.
 
-/// Tokens are counted in thousandths, so that a share of the fresh work needs no fractions.
+/// Units per token, which allows one retry. Whole units represent the fraction of a token that a fresh statement
+/// earns.
 const UNITS_PER_RETRY: u64 = 1_000;
+/// Units that a fresh statement earns for each percent that [`RetryBudget::new`] is given.
 const UNITS_PER_PERCENT: u64 = UNITS_PER_RETRY / 100;
 
-/// Allows retries in proportion to fresh work. Starts full.
+/// Allows retries in proportion to fresh statements. Starts full.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     units: u64,
@@ -13,8 +15,8 @@
 }
 
 impl RetryBudget {
-    /// Each fresh statement earns `percent` hundredths of a retry; at most `burst` retries are
-    /// saved up.
+    /// Creates a full budget. Each fresh statement earns `percent` hundredths of a retry; at most `burst` retries
+    /// can be saved up.
     pub fn new(percent: u32, burst: u32) -> Self {
         let capacity = u64::from(burst) * UNITS_PER_RETRY;
         RetryBudget {
@@ -24,13 +26,13 @@
         }
     }
 
-    /// A fresh statement arrived.
+    /// Adds what a fresh statement earns.
     pub fn earn(&mut self) {
         let earned = self.units.saturating_add(self.units_per_fresh);
         self.units = earned.min(self.capacity);
     }
 
-    /// Takes one retry out. False when there is none left.
+    /// Spends one retry; false when none is left.
     pub fn spend(&mut self) -> bool {
         let Some(left) = self.units.checked_sub(UNITS_PER_RETRY) else {
             return false;
--- a/crates/dyketally/src/retry/by_tenant.rs
+++ b/crates/dyketally/src/retry/by_tenant.rs
@@ -1,40 +1,41 @@
-//! A retry budget for each tenant.
+//! A separate retrier, and so a separate retry budget, for each tenant.
 
 use std::collections::BTreeMap;
 
 use super::retrier::{Retrier, RetryCounters};
 use crate::identifiers::TenantName;
 
-/// Retriers of the tenants that one node serves: a tenant whose statements all fail uses up its
-/// own budget, not that of the others.
+/// The retriers of one node's tenants. A tenant whose statements all fail uses up its own retry budget, not those
+/// of other tenants.
 #[derive(Clone, Debug)]
 pub struct TenantRetriers {
-    unused: Retrier,
+    /// A retrier with a full budget and zero counters, which is copied for each new tenant.
+    initial: Retrier,
     tenants: BTreeMap<TenantName, Retrier>,
 }
 
 impl TenantRetriers {
-    /// Each tenant gets a copy of `unused`, a retrier that has decided nothing yet.
-    pub fn new(unused: Retrier) -> Self {
+    /// Creates retriers without tenants. Each tenant gets a copy of `initial`, which must not have been used.
+    pub fn new(initial: Retrier) -> Self {
         TenantRetriers {
-            unused,
+            initial,
             tenants: BTreeMap::new(),
         }
     }
 
-    /// The tenant's retrier, with a full budget when the tenant is new.
+    /// The tenant's retrier. A new tenant gets one with a full budget.
     pub fn tenant(&mut self, tenant: &TenantName) -> &mut Retrier {
         self.tenants
             .entry(tenant.clone())
-            .or_insert_with(|| self.unused.clone())
+            .or_insert_with(|| self.initial.clone())
     }
 
-    /// Forgets the tenants that `keep` doesn't name.
+    /// Removes the retriers of the tenants for which `keep` returns false.
     pub fn retain_tenants(&mut self, keep: impl Fn(&TenantName) -> bool) {
         self.tenants.retain(|tenant, _| keep(tenant));
     }
 
-    /// What was decided so far, by tenant.
+    /// Counts of the decisions so far, by tenant.
     pub fn counters(&self) -> BTreeMap<TenantName, RetryCounters> {
         let tenants = self.tenants.iter();
         tenants
--- a/crates/dyketally/src/retry/mod.rs
+++ b/crates/dyketally/src/retry/mod.rs
@@ -1,7 +1,7 @@
-//! Retry budget for repeatable statements.
+//! Retries of failed statements, limited by a retry budget.
 //!
-//! Retries are limited to a share of the fresh work, not to a count for each statement: when a
-//! database is in trouble every statement fails, and a count would multiply the load by it.
+//! Retries are limited to a percentage of the fresh statements (first attempts), not to a number of retries per
+//! statement. When a database fails, all statements fail, and a fixed number of retries would multiply the load.
 
 mod backoff;
 mod budget;
--- a/crates/dyketally/src/retry/retrier.rs
+++ b/crates/dyketally/src/retry/retrier.rs
@@ -1,4 +1,4 @@
-//! Decides whether and when a statement that failed is sent again.
+//! Decides whether and when a statement is sent again after a failed attempt.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::policy::Repeat;
 use crate::time::Timestamp;
 
-/// How retries are limited.
+/// Limits on retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetrySettings {
-    /// Retries that a hundred fresh statements earn.
+    /// Number of retries that 100 fresh statements earn.
     pub percent_of_fresh: u32,
-    /// Retries that may be saved up.
+    /// Greatest number of retries that can be saved up.
     pub burst: u32,
     /// Delays between attempts.
     pub backoff: Backoff,
@@ -34,16 +34,16 @@
     }
 }
 
-/// An attempt that failed.
+/// A failed attempt to run a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Attempts made so far, this one included; at least 1.
+    /// Number of attempts so far, this one included; at least 1.
     pub number: u32,
     /// Whether the statement may have reached a database.
     pub may_have_run: bool,
     /// Whether the statement may be sent again after it may have run.
     pub repeat: Repeat,
-    /// Time to come back that the failure named, if it named one.
+    /// Retry-after time that came with the failure, if any.
     pub retry_after: Option<Duration>,
     /// The statement's deadline.
     pub deadline: Timestamp,
@@ -52,39 +52,39 @@
 /// What to do with a statement whose attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it again at this time, which lies before its deadline.
+    /// Send the statement again at this time, which is before its deadline.
     RetryAt(Timestamp),
-    /// Answer the caller now.
+    /// Don't send the statement again; answer the caller now.
     GiveUp(GiveUpReason),
 }
 
-/// Why a statement is not sent again.
+/// The reason for which a statement is not sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum GiveUpReason {
-    /// It may have run and may not run twice.
+    /// The statement may have run and must not run twice.
     NotRepeatable,
     /// The next attempt would begin at or past the deadline.
     DeadlineTooNear,
-    /// Retries have used up their share of the work.
+    /// The retry budget is spent.
     BudgetSpent,
 }
 
-/// What was decided so far.
+/// Counts of the decisions so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetryCounters {
-    /// Fresh statements.
+    /// Number of fresh statements.
     pub fresh: u64,
-    /// Retries allowed.
+    /// Number of retries allowed.
     pub retried: u64,
-    /// Given up: the statement may have run and may not run twice.
+    /// Number of statements given up because they may have run and must not run twice.
     pub not_repeatable: u64,
-    /// Given up: the deadline was too near.
+    /// Number of statements given up because their deadline was too near.
     pub deadline_too_near: u64,
-    /// Given up: the budget was spent.
+    /// Number of statements given up because the budget was spent.
     pub budget_spent: u64,
 }
 
-/// Budget and backoff of one source of statements, such as a tenant at an edge.
+/// The retry budget and backoff of one source of statements, such as a tenant at an edge node.
 #[derive(Clone, Debug)]
 pub struct Retrier {
     budget: RetryBudget,
@@ -93,7 +93,7 @@
 }
 
 impl Retrier {
-    /// A retrier with a full budget.
+    /// Creates a retrier with a full budget.
     pub fn new(settings: RetrySettings) -> Self {
         Retrier {
             budget: RetryBudget::new(settings.percent_of_fresh, settings.burst),
@@ -102,13 +102,13 @@
         }
     }
 
-    /// A statement is about to be sent for the first time.
+    /// Records that a statement is about to be sent for the first time.
     pub fn fresh(&mut self) {
         self.counters.fresh += 1;
         self.budget.earn();
     }
 
-    /// Decides about a failed attempt; a retry is charged to the budget.
+    /// Decides whether a statement is sent again after a failed attempt. A retry is charged to the budget.
     pub fn decide(&mut self, now: Timestamp, attempt: &Attempt, random: &mut impl Rng) -> Decision {
         if attempt.may_have_run && attempt.repeat == Repeat::Never {
             return self.give_up(GiveUpReason::NotRepeatable);
@@ -126,7 +126,7 @@
         Decision::RetryAt(at)
     }
 
-    /// What was decided so far.
+    /// Counts of the decisions so far.
     pub fn counters(&self) -> RetryCounters {
         self.counters
     }
