--- a/crates/dyketally/src/pool/connection.rs
+++ b/crates/dyketally/src/pool/connection.rs
@@ -1,19 +1,19 @@
-//! One connection: its states, and what the pool asks its owner to do with it.
+//! The states of a connection, the actions that the pool requests of its owner, and the results reported back.
 
 use crate::identifiers::TenantName;
 use crate::time::Timestamp;
 
-/// A connection in one pool; never reused.
+/// Identifies a connection in one pool. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub(super) u64);
 
-/// What the owner of the connections has to do.
+/// An action that the owner of the connections has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolAction {
     /// Open a connection and report [`connected`](super::Pool::connected) or
     /// [`refused`](super::Pool::refused).
     Open {
-        /// What to call it in the report.
+        /// The id under which to report the connection.
         connection: ConnectionId,
     },
     /// Close a connection and report [`closed`](super::Pool::closed).
@@ -23,26 +23,28 @@
     },
 }
 
-/// Why a database did not grant a connection.
+/// The reason for which a connection could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// It has granted as many as it may (SQLSTATE 53300).
+    /// The database has reached its connection limit (SQLSTATE 53300).
     TooManyConnections,
-    /// It takes no new connections now: it starts, or leaves (SQLSTATE 57P03).
+    /// The database accepts no new connections now because it is starting or leaving (SQLSTATE 57P03).
     CannotConnectNow,
-    /// It could not be reached.
+    /// The database is unreachable.
     Unreachable,
 }
 
-/// In which condition a connection comes back.
+/// The condition in which a connection is returned to the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReleaseCondition {
-    /// Its last reply was read to the end and reported no open transaction.
+    /// The last reply on the connection was read to the end and reported no open transaction.
     Clean,
-    /// Anything else: it must not be used again.
+    /// Any other condition: the connection must not be used again.
     Dirty,
 }
 
+/// The state of a connection. `Busy`: in use by a statement outside of a transaction. `Pinned`: in use by an open
+/// transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum State {
     Connecting,
--- a/crates/dyketally/src/pool/connections.rs
+++ b/crates/dyketally/src/pool/connections.rs
@@ -1,30 +1,30 @@
-//! The pool of one database's connections.
+//! The connection pool of one database.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand::Rng;
 
 use super::connection::{ConnectionId, PoolAction, Refusal, ReleaseCondition, State};
-use super::holdings::{Holdings, Supply};
+use super::holdings::{Capacity, Holdings};
 use super::learned_limit::LearnedLimit;
 use super::settings::PoolSettings;
 use super::status::{PoolCounters, PoolStatus};
 use crate::identifiers::TenantName;
 use crate::time::Timestamp;
 
-/// Connections to one database and who holds them.
+/// The connections to one database and the tenants that hold them.
 #[derive(Debug)]
 pub struct Pool {
     settings: PoolSettings,
     limit: LearnedLimit,
     holdings: Holdings,
     connections: BTreeMap<ConnectionId, State>,
-    /// Idle connections, the one that has been idle for longest first.
+    /// Idle connections, the one that has been idle for the longest time first.
     idle: BTreeSet<(Timestamp, ConnectionId)>,
     connecting: u32,
     closing: u32,
-    /// Refusals since a connection was last granted.
-    failures: u32,
+    /// Number of refusals since a connection was last opened.
+    refusals: u32,
     /// No connection is opened before this time.
     connect_after: Timestamp,
     leaving: bool,
@@ -33,7 +33,7 @@
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(settings: PoolSettings) -> Self {
         Pool {
             limit: LearnedLimit::new(settings.connection_limit),
@@ -43,7 +43,7 @@
             idle: BTreeSet::new(),
             connecting: 0,
             closing: 0,
-            failures: 0,
+            refusals: 0,
             connect_after: Timestamp::ZERO,
             leaving: false,
             next_connection: 0,
@@ -51,39 +51,39 @@
         }
     }
 
-    /// Changes the settings. Connections beyond a lower limit are closed as they come back.
+    /// Changes the settings. Connections in excess of a lower limit are closed once they are released.
     pub fn configure(&mut self, settings: PoolSettings) {
         self.limit.configure(settings.connection_limit);
         self.settings = settings;
     }
 
-    /// The tenant has a fresh statement that waits for a connection. Shares are divided between
-    /// the tenants that have asked of late or hold connections.
+    /// Records that the tenant has a fresh statement that waits for a connection. The connections are shared
+    /// between the tenants that hold connections or have recently waited for one.
     pub fn ask(&mut self, now: Timestamp, tenant: &TenantName, weight: u32) {
-        self.holdings.ask(now, tenant, weight);
+        self.holdings.record_demand(now, tenant, weight);
     }
 
-    /// Whether [`acquire`](Self::acquire) would yield a connection.
+    /// True when [`acquire`](Self::acquire) would return a connection.
     pub fn can_acquire(&self, tenant: &TenantName) -> bool {
-        let may_hold = || self.holdings.may_hold_another(tenant, self.supply());
-        !self.leaving && !self.idle.is_empty() && may_hold()
+        let may_hold_another = || self.holdings.may_hold_another(tenant, self.capacity());
+        !self.leaving && !self.idle.is_empty() && may_hold_another()
     }
 
-    /// A connection for a fresh statement, the one used last first, so that others can expire.
-    /// `None` when none is idle or the tenant holds its share: wait, and ask again when a
-    /// connection comes back.
+    /// Takes a connection for a fresh statement: the most recently used one, so that the others can reach their
+    /// idle timeout. `None` when no connection is idle or the tenant already holds its share; to be tried again
+    /// when a connection is released.
     pub fn acquire(
         &mut self,
         now: Timestamp,
         tenant: &TenantName,
         weight: u32,
     ) -> Option<ConnectionId> {
-        self.holdings.ask(now, tenant, weight);
+        self.holdings.record_demand(now, tenant, weight);
         if !self.can_acquire(tenant) {
             return None;
         }
         let (_, connection) = self.idle.pop_last()?;
-        self.holdings.take(tenant);
+        self.holdings.acquire(tenant);
         let busy = State::Busy {
             tenant: tenant.clone(),
         };
@@ -92,7 +92,7 @@
         Some(connection)
     }
 
-    /// The statement on this connection opened a transaction: the connection stays with it.
+    /// Records that the statement on this connection opened a transaction, which keeps the connection until it ends.
     pub fn pin(&mut self, connection: ConnectionId) {
         match self.connections.get_mut(&connection) {
             Some(state @ State::Busy { .. }) => {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The statement or transaction on this connection is over.
+    /// Returns a connection whose statement or transaction has ended. The result says whether to close it.
     pub fn release(
         &mut self,
         now: Timestamp,
@@ -117,7 +117,7 @@
             self.counters.unexpected_reports += 1;
             return None;
         };
-        self.holdings.give_back(&tenant);
+        self.holdings.release(&tenant);
         if condition == ReleaseCondition::Dirty {
             self.counters.returned_dirty += 1;
             return Some(self.close(connection));
@@ -125,19 +125,19 @@
         self.keep_or_close(now, connection)
     }
 
-    /// A connection that was to be opened is there.
+    /// Records that a connection has been opened. The result says whether to close it at once.
     pub fn connected(&mut self, now: Timestamp, connection: ConnectionId) -> Option<PoolAction> {
         if self.connections.get(&connection) != Some(&State::Connecting) {
             self.counters.unexpected_reports += 1;
             return None;
         }
         self.connecting -= 1;
-        self.failures = 0;
+        self.refusals = 0;
         self.counters.opened += 1;
         self.keep_or_close(now, connection)
     }
 
-    /// A connection that was to be opened was not granted.
+    /// Records that a connection could not be opened.
     pub fn refused(
         &mut self,
         now: Timestamp,
@@ -155,12 +155,12 @@
         if refusal == Refusal::TooManyConnections {
             self.limit.refused(now, self.established());
         }
-        self.failures = self.failures.saturating_add(1);
-        let delay = self.settings.backoff.delay(self.failures, random);
+        self.refusals = self.refusals.saturating_add(1);
+        let delay = self.settings.backoff.delay(self.refusals, random);
         self.connect_after = self.connect_after.max(now + delay);
     }
 
-    /// A connection has ended, whether it was asked to or not.
+    /// Records that a connection has ended, whether or not the pool requested it.
     pub fn closed(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.remove(&connection) else {
             self.counters.unexpected_reports += 1;
@@ -175,22 +175,22 @@
             State::Idle { since } => {
                 self.idle.remove(&(*since, connection));
             }
-            State::Busy { tenant } | State::Pinned { tenant } => self.holdings.give_back(tenant),
+            State::Busy { tenant } | State::Pinned { tenant } => self.holdings.release(tenant),
         }
         self.counters.lost += 1;
     }
 
-    /// Connections to open and to close now. `demand` is the number of fresh statements that
-    /// could run at once if they had a connection: those that wait, but at most the free slots.
+    /// The connections to open and to close now. `demand` is the number of fresh statements that could run at
+    /// once if they had a connection: the waiting ones, but at most the number of free slots.
     pub fn poll(&mut self, now: Timestamp, demand: u32) -> Vec<PoolAction> {
         self.limit.advance(now);
-        self.holdings.forget_idle(now);
-        let mut actions = self.retire(now);
-        actions.extend((0..self.missing(now, demand)).map(|_| self.open()));
+        self.holdings.forget_inactive(now);
+        let mut actions = self.close_surplus(now);
+        actions.extend((0..self.connections_to_open(now, demand)).map(|_| self.open()));
         actions
     }
 
-    /// When [`poll`](Self::poll) may have something to do without any other event.
+    /// When [`poll`](Self::poll) has to be called again if no other event occurs before; `None` if not at all.
     pub fn next_wakeup(&self, now: Timestamp) -> Option<Timestamp> {
         let oldest = self.idle.first();
         let expiry = oldest
@@ -203,19 +203,19 @@
             .min()
     }
 
-    /// The database is leaving: gives out and opens no connection until
-    /// [`readmit`](Self::readmit). [`poll`](Self::poll) closes the idle ones, and those in use
-    /// are closed as they come back.
+    /// Records that the database is leaving: no connection can be acquired or opened until
+    /// [`readmit`](Self::readmit). [`poll`](Self::poll) closes the idle connections; those in use are closed when
+    /// they are released.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// The database takes work again.
+    /// Records that the database is no longer leaving.
     pub fn readmit(&mut self) {
         self.leaving = false;
     }
 
-    /// Closes the connections that are still in use, for the end of a drain.
+    /// Closes the connections that are still in use. For the end of a drain.
     pub fn close_held(&mut self) -> Vec<PoolAction> {
         let states = self.connections.iter();
         let held: Vec<(ConnectionId, TenantName)> = states
@@ -223,23 +223,23 @@
             .collect();
         held.into_iter()
             .map(|(connection, tenant)| {
-                self.holdings.give_back(&tenant);
+                self.holdings.release(&tenant);
                 self.close(connection)
             })
             .collect()
     }
 
-    /// Whether no connection is open, opening or closing.
+    /// True when no connection is open, opening or closing.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Idle connections.
+    /// Number of idle connections.
     pub fn idle(&self) -> usize {
         self.idle.len()
     }
 
-    /// The pool as operators see it.
+    /// The pool's status for operators.
     pub fn status(&self) -> PoolStatus {
         let count = |is: fn(&State) -> bool| {
             let matching = self.connections.values().filter(|state| is(state)).count();
@@ -258,24 +258,25 @@
         }
     }
 
-    fn supply(&self) -> Supply {
+    fn capacity(&self) -> Capacity {
         let limit = self.limit.current();
-        Supply {
+        Capacity {
             limit,
             reserve: self.settings.reserve.min(limit / 2),
         }
     }
 
-    /// Connections of any state: each may count at the database.
+    /// Number of connections in any state: each of them may count towards the database's limit.
     fn total(&self) -> u32 {
         u32::try_from(self.connections.len()).unwrap_or(u32::MAX)
     }
 
-    /// Connections that the database has granted and that are not being closed.
+    /// Number of connections that are open and not being closed.
     fn established(&self) -> u32 {
         self.total() - self.connecting - self.closing
     }
 
+    /// Makes a connection idle, or closes it when the database is leaving or the limit is exceeded.
     fn keep_or_close(&mut self, now: Timestamp, connection: ConnectionId) -> Option<PoolAction> {
         let others = self.total() - self.closing - 1;
         if self.leaving || others >= self.limit.current() {
@@ -302,8 +303,8 @@
         PoolAction::Open { connection }
     }
 
-    /// Closes idle connections that are too old or too many, oldest first.
-    fn retire(&mut self, now: Timestamp) -> Vec<PoolAction> {
+    /// Closes the idle connections that have reached their idle timeout or exceed the limit, oldest first.
+    fn close_surplus(&mut self, now: Timestamp) -> Vec<PoolAction> {
         let mut actions = Vec::new();
         while let Some((since, connection)) = self.idle.first().copied() {
             if !self.is_surplus(now, since) {
@@ -323,8 +324,8 @@
         self.leaving || open > self.limit.current() || (expired && spare)
     }
 
-    /// How many connections to open now.
-    fn missing(&self, now: Timestamp, demand: u32) -> u32 {
+    /// Number of connections to open now.
+    fn connections_to_open(&self, now: Timestamp, demand: u32) -> u32 {
         if self.leaving || now < self.connect_after {
             return 0;
         }
@@ -333,8 +334,8 @@
         let open = self.total() - self.closing;
         let for_minimum = self.settings.minimum_open.saturating_sub(open);
         let room = self.limit.current().saturating_sub(self.total());
-        // After a refusal one connection at a time finds out whether others would be granted.
-        let concurrent = if self.failures > 0 {
+        // After a refusal, only one connection at a time is opened, to test whether the database accepts others.
+        let concurrent = if self.refusals > 0 {
             1
         } else {
             self.settings.concurrent_connects
--- a/crates/dyketally/src/pool/mod.rs
+++ b/crates/dyketally/src/pool/mod.rs
@@ -1,9 +1,9 @@
-//! Accounting of the connections to one database.
+//! Connection pool of one database, without I/O.
 //!
-//! [`Pool`] opens no connection itself. It says which connection a statement may use, and when to
-//! open and close connections, and is told what became of them. A database's own connection limit
-//! is the hard bound: when another node holds connections to it too, refusals teach the pool a
-//! lower limit.
+//! [`Pool`] opens no connections itself. It decides which connection a statement may use and when to open and
+//! close connections; the owner of the connections carries this out and reports the results. The database's
+//! own connection limit is the hard bound. When other nodes hold connections to the database, too, the pool
+//! lowers its limit each time the database refuses a connection.
 
 mod connection;
 mod connections;
--- a/crates/dyketally/src/pool/settings.rs
+++ b/crates/dyketally/src/pool/settings.rs
@@ -1,36 +1,36 @@
-//! Settings of a pool.
+//! Settings of a connection pool.
 
 use std::time::Duration;
 
 use crate::retry::Backoff;
 
-/// Connections that may be in the course of opening at one time.
+/// Default of [`PoolSettings::concurrent_connects`].
 const CONCURRENT_CONNECTS: u32 = 8;
 
-/// Usual idle timeout. Short, so that a node that is no longer the home of a database soon gives
-/// its connections up to the one that is; the minimum stays warm.
+/// Default of [`PoolSettings::idle_timeout`]. It is short so that a node that is no longer the home of a database
+/// soon frees its connections for the node that is. [`PoolSettings::minimum_open`] connections stay open anyway.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How many connections a pool keeps, and for how long.
+/// How many connections a pool keeps open, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSettings {
-    /// Connections that the database grants as a whole.
+    /// Number of connections that the database accepts in total.
     pub connection_limit: u32,
-    /// Connections that stay open without work.
+    /// Number of connections that stay open even when idle.
     pub minimum_open: u32,
-    /// Connections that are lent to no tenant beyond its share, so that a tenant within its share
-    /// finds one. The number of slots is a good choice: as many statements can run at one time.
+    /// Number of connections that no tenant gets beyond its share, so that a tenant within its share finds one.
+    /// The number of slots is a good choice, since that many statements can run at a time.
     pub reserve: u32,
-    /// A connection that was idle for longer is closed.
+    /// Time after which an idle connection is closed, if more than `minimum_open` are open.
     pub idle_timeout: Duration,
-    /// Connections that may be in the course of opening at one time.
+    /// Greatest number of connections that may be opening at a time.
     pub concurrent_connects: u32,
-    /// Delays between attempts to connect after refusals.
+    /// Delays before the next attempt to connect after refusals.
     pub backoff: Backoff,
 }
 
 impl PoolSettings {
-    /// Usual settings for a database with this connection limit and this number of slots.
+    /// Default settings for a database with this connection limit and number of slots.
     pub fn for_database(connection_limit: u32, slots: u32) -> Self {
         PoolSettings {
             connection_limit,
--- a/crates/dyketally/src/pool/status.rs
+++ b/crates/dyketally/src/pool/status.rs
@@ -1,4 +1,4 @@
-//! What operators can see of a pool.
+//! The status of a connection pool, for operators.
 
 use std::collections::BTreeMap;
 
@@ -6,48 +6,48 @@
 
 use crate::identifiers::TenantName;
 
-/// What happened to a pool's connections so far.
+/// Counts of the events of a pool's connections so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolCounters {
-    /// Connections that were opened.
+    /// Connections opened.
     pub opened: u64,
-    /// Refused: the database had granted as many as it may.
+    /// Connections refused because the database had reached its connection limit.
     pub refused_too_many: u64,
-    /// Refused: the database takes no new connections now.
+    /// Connections refused because the database was starting or leaving.
     pub refused_cannot_connect: u64,
-    /// The database could not be reached.
+    /// Attempts to connect that did not reach the database.
     pub unreachable: u64,
-    /// Connections given to a statement.
+    /// Times that a connection was given to a statement.
     pub used: u64,
-    /// Connections that came back in a condition in which they could not be used again.
+    /// Connections returned in a condition in which they could not be used again.
     pub returned_dirty: u64,
-    /// Connections closed because they were idle or too many.
+    /// Connections closed because of their idle timeout, the limit or a leaving database.
     pub retired: u64,
-    /// Connections that ended without having been asked to.
+    /// Connections that ended without the pool having requested it, attempts to connect included.
     pub lost: u64,
-    /// Reports about a connection that was not in the state reported. Should stay 0.
+    /// Reports that don't fit the state of their connection. Should stay 0.
     pub unexpected_reports: u64,
 }
 
-/// A pool at one moment.
+/// The status of a pool at one moment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolStatus {
-    /// Connections that the database grants as a whole.
+    /// Number of connections that the database accepts in total.
     pub connection_limit: u32,
-    /// Connections that the pool tries to have at most, as learned from refusals.
+    /// Current limit of the pool, at most `connection_limit`; refusals by the database lower it.
     pub learned_limit: u32,
-    /// Connections that are being opened.
+    /// Number of connections that are being opened.
     pub connecting: u32,
-    /// Connections that wait for work.
+    /// Number of idle connections.
     pub idle: u32,
-    /// Connections with a statement outside of a transaction.
+    /// Number of connections in use by a statement outside of a transaction.
     pub busy: u32,
-    /// Connections held by open transactions.
+    /// Number of connections in use by open transactions.
     pub pinned: u32,
-    /// Connections that are being closed.
+    /// Number of connections that are being closed.
     pub closing: u32,
-    /// Connections held, by tenant.
+    /// Number of connections held, by tenant.
     pub held: BTreeMap<TenantName, u32>,
-    /// What happened so far.
+    /// Counts of the events so far.
     pub counters: PoolCounters,
 }
