--- a/crates/dyketally/src/failover/contact.rs
+++ b/crates/dyketally/src/failover/contact.rs
@@ -157,9 +157,7 @@
     /// first reply.
     pub fn ask_nodes_at(&self, last_polled: Option<Timestamp>) -> Option<Timestamp> {
         let store_late = self.store? + POLL_NODES_AFTER;
-        let after = |due: Timestamp, interval| {
-            last_polled.map_or(due, |sent_at| due.max(sent_at + interval))
-        };
+        let after = |due: Timestamp, interval| last_polled.map_or(due, |at| due.max(at + interval));
         let grant_late = self
             .granted
             .map_or(Timestamp::ZERO, |at| at + GRANT_LATE_AFTER);
--- a/crates/dyketally/src/slow_start/warmth.rs
+++ b/crates/dyketally/src/slow_start/warmth.rs
@@ -16,13 +16,13 @@
 pub struct Warmth {
     /// Until when the database is cold according to its announcements.
     cold_until: Timestamp,
-    /// A restart that this node may have missed and hasn't ruled out.
+    /// A restart without this node's knowledge that hasn't been ruled out.
     possible_restart: Option<PossibleRestart>,
     /// True once an announcement has been received.
     is_announced: bool,
 }
 
-/// A restart of the database that this node may have missed.
+/// A restart of the database that may have happened, or may still happen, without this node's knowledge.
 #[derive(Clone, Copy, Debug)]
 struct PossibleRestart {
     /// Earliest time of the restart. A connection opened before that and still answering rules the restart out.
