--- a/crates/dyketally/tests/fuzz/actions.rs
+++ b/crates/dyketally/tests/fuzz/actions.rs
@@ -1,12 +1,13 @@
-//! Actions of a case and how they are drawn.
+//! The actions of a test case, and the strategies that generate them.
 
 use dyketally::policy::Repeat;
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 
 use crate::callers::CALLERS;
-use crate::environment::{Held, MEMBERS, NODES, OPERATORS, PLACES, Place};
+use crate::environment::{DelayTarget, MEMBERS, NODES, OPERATORS, PLACES, Place};
 
+/// Which key a caller looks up: one that it wrote itself, or one of the next caller.
 #[derive(Clone, Copy, Debug)]
 pub enum LookupTarget {
     OwnNewest,
@@ -14,7 +15,7 @@
     Other,
 }
 
-/// Where a caller goes, and whether it carries its token there.
+/// A caller's move to a node, with or without its session token.
 #[derive(Clone, Copy, Debug)]
 pub struct Move {
     pub caller: usize,
@@ -24,55 +25,60 @@
 
 #[derive(Clone, Debug)]
 pub enum Action {
+    /// Caller; whether the write may be repeated.
     Write(usize, Repeat),
-    /// A transaction of so many statements.
+    /// Caller; number of statements.
     Transaction(usize, usize),
-    /// Sends the last write again that was told not-run.
-    Again(usize),
+    /// The caller sends its last write that was answered as not run again.
+    ResendNotRun(usize),
     Lookup(usize, LookupTarget),
     Roam(Move),
-    /// Roams and looks its newest write up there.
+    /// Moves the caller and looks up its newest write at the new node.
     RoamAndLookUp(Move),
     Kill(Place),
-    /// For so many milliseconds.
+    /// Freezes a process for a number of milliseconds.
     Freeze(Place, u64),
-    /// One way.
+    /// Cuts the link in one direction, from the first place to the second.
     Cut(Place, Place),
+    /// Cuts a process off from all others, in both directions.
     Isolate(Place),
-    /// Cuts a member off from the other members, but not from nodes.
+    /// Cuts a member off from the other members, but not from the nodes.
     IsolateFromGroup(usize),
-    /// Cuts a zone, node and database, off from the others.
+    /// Cuts a zone's node and database off from all processes outside the zone.
     CutZone(usize),
     HealCuts,
-    /// By so many milliseconds.
+    /// Sets a node's clock forward by a number of milliseconds.
     JumpClock(Place, u64),
-    /// So many milliseconds.
+    /// Sets a member's replication lag, in milliseconds.
     Lag(usize, u64),
+    /// Starts an election with this member as the candidate.
     Elect(usize),
-    /// So many milliseconds, on the way to a member.
-    HoldBack(usize, Held, u64),
-    /// An edge takes a node for the home of a database, rightly or not.
-    Believe {
+    /// Delays messages to a member by a number of milliseconds.
+    DelayDelivery(usize, DelayTarget, u64),
+    /// An edge treats `home` as the home of a database, whether or not it is.
+    OverrideHome {
         edge: Place,
         member: usize,
         home: Place,
     },
+    /// Starts the planned stop of a node.
     StopNode(Place),
+    /// A member of the group starts leaving.
     LeaveDatabase(usize),
     /// An operator publishes a change of the configuration.
     Publish(usize),
-    /// So many milliseconds.
+    /// Lets a number of milliseconds pass.
     Wait(u64),
 }
 
-/// An action and the time that passes behind it.
+/// An action and the simulated time that passes after it, in microseconds.
 #[derive(Clone, Debug)]
 pub struct Step {
     pub action: Action,
     pub then_micros: u64,
 }
 
-/// Which actions a case consists of.
+/// Which actions a case may have.
 #[derive(Clone, Copy, Debug)]
 pub enum Mix {
     /// Any action, at any moment.
@@ -81,10 +87,10 @@
     Elections,
 }
 
-/// Draws cases of [`Mix::Elections`] alone.
+/// Generates only cases of [`Mix::Elections`].
 pub struct Elections;
 
-/// What the actions are drawn by. Any action may come at any moment, so nothing else is kept.
+/// Parameters of a case. As every action is valid at any time, the reference state holds nothing else.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     /// Seed of the simulation's own random choices.
@@ -109,8 +115,8 @@
 }
 
 fn movement() -> impl Strategy<Value = Move> {
-    let drawn = (0..CALLERS, 0..NODES, prop::bool::weighted(0.6));
-    drawn.prop_map(|(caller, node, keep_token)| Move {
+    let fields = (0..CALLERS, 0..NODES, prop::bool::weighted(0.6));
+    fields.prop_map(|(caller, node, keep_token)| Move {
         caller,
         node,
         keep_token,
@@ -121,7 +127,7 @@
     prop_oneof![
         5 => (0..CALLERS, repeat()).prop_map(|(caller, repeat)| Action::Write(caller, repeat)),
         2 => (0..CALLERS, 1..4_usize).prop_map(|(caller, count)| Action::Transaction(caller, count)),
-        2 => (0..CALLERS).prop_map(Action::Again),
+        2 => (0..CALLERS).prop_map(Action::ResendNotRun),
         4 => (0..CALLERS, target()).prop_map(|(caller, target)| Action::Lookup(caller, target)),
         1 => movement().prop_map(Action::Roam),
         2 => (0..OPERATORS).prop_map(Action::Publish),
@@ -129,17 +135,17 @@
     ]
 }
 
-/// Writes that a replaced primary may take, and lookups that it may serve.
+/// Writes that a replaced primary may wrongly accept, and lookups that it may wrongly answer.
 fn contested_traffic() -> impl Strategy<Value = Action> {
     prop_oneof![
         4 => (0..CALLERS, repeat()).prop_map(|(caller, repeat)| Action::Write(caller, repeat)),
-        2 => (0..CALLERS).prop_map(Action::Again),
+        2 => (0..CALLERS).prop_map(Action::ResendNotRun),
         4 => movement().prop_map(Action::RoamAndLookUp),
     ]
 }
 
-fn held() -> impl Strategy<Value = Held> {
-    prop_oneof![Just(Held::Change), Just(Held::BehindChange)]
+fn delay_target() -> impl Strategy<Value = DelayTarget> {
+    prop_oneof![Just(DelayTarget::Change), Just(DelayTarget::AfterChange)]
 }
 
 fn change_of_primary() -> impl Strategy<Value = Action> {
@@ -148,8 +154,8 @@
         2 => (0..MEMBERS).prop_map(Action::CutZone),
         4 => Just(Action::HealCuts),
         3 => (0..MEMBERS).prop_map(Action::Elect),
-        2 => (0..MEMBERS, held(), 0..200_u64)
-            .prop_map(|(member, held, millis)| Action::HoldBack(member, held, millis)),
+        2 => (0..MEMBERS, delay_target(), 0..200_u64)
+            .prop_map(|(member, target, millis)| Action::DelayDelivery(member, target, millis)),
         1 => (0..MEMBERS, 0..100_u64).prop_map(|(member, millis)| Action::Lag(member, millis)),
     ]
 }
@@ -162,7 +168,7 @@
         1 => (0..PLACES).prop_map(Action::Isolate),
         1 => (0..NODES, 1..2_000_u64).prop_map(|(node, millis)| Action::JumpClock(node, millis)),
         1 => (0..NODES, 0..MEMBERS, 0..NODES)
-            .prop_map(|(edge, member, home)| Action::Believe { edge, member, home }),
+            .prop_map(|(edge, member, home)| Action::OverrideHome { edge, member, home }),
         1 => (0..NODES).prop_map(Action::StopNode),
         1 => (0..MEMBERS).prop_map(Action::LeaveDatabase),
         7 => change_of_primary(),
--- a/crates/dyketally/tests/fuzz/callers.rs
+++ b/crates/dyketally/tests/fuzz/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: one request at a time, roaming with or without their token.
+//! Callers: each sends one request at a time and may move to another node, with or without its session token.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use dyketally::session::SessionToken;
 use dyketally::time::Timestamp;
 
-use crate::edge::{Call, Wish};
+use crate::edge::{Call, CallKind};
 use crate::environment::{Environment, NODES, Place};
 use crate::messages::{ClientAnswer, ClientMessage};
 
 pub const CALLERS: usize = 4;
-/// A caller hangs up when it got no answer for so long.
-const PATIENCE: Duration = Duration::from_millis(700);
+/// A caller closes its connection when a request has had no answer for this long.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
 
 struct Busy {
     call: Call,
@@ -25,14 +25,17 @@
 
 pub struct Caller {
     number: usize,
+    /// The node that the caller is connected to.
     pub node: Place,
+    /// Number of the caller's current connection.
     connection: u64,
     token: Option<SessionToken>,
     busy: Option<Busy>,
-    /// Keys of its acknowledged writes.
-    pub own: Vec<Key>,
-    /// Its last write that was told not-run.
-    again: Option<Wish>,
+    /// Keys of the caller's acknowledged writes, oldest first.
+    pub acknowledged_keys: Vec<Key>,
+    /// The last write that was answered as not run.
+    not_run_write: Option<CallKind>,
+    /// Count of lookups that failed.
     pub failed_lookups: usize,
 }
 
@@ -44,8 +47,8 @@
             connection: 0,
             token: None,
             busy: None,
-            own: Vec::new(),
-            again: None,
+            acknowledged_keys: Vec::new(),
+            not_run_write: None,
             failed_lookups: 0,
         }
     }
@@ -58,24 +61,24 @@
         SessionName(format!("session-{}", self.number))
     }
 
-    /// Records the request; the world hands the call to the caller's node.
-    pub fn begin(&mut self, environment: &mut Environment, wish: Wish) -> Call {
+    /// Records the start of a request in the history; the world delivers the returned call to the caller's node.
+    pub fn begin(&mut self, environment: &mut Environment, kind: CallKind) -> Call {
         let request = RequestNumber(environment.unique());
-        environment.record(match &wish {
-            Wish::Lookup { key } => Event::LookupBegan(LookupBegan {
+        environment.record(match &kind {
+            CallKind::Lookup { key } => Event::LookupBegan(LookupBegan {
                 request,
                 session: self.session(),
                 key: key.clone(),
             }),
-            Wish::Write { entries, repeat } => self.write_began(request, entries, *repeat),
-            Wish::Transaction { entries } => self.write_began(request, entries, Repeat::Never),
+            CallKind::Write { entries, repeat } => self.write_began(request, entries, *repeat),
+            CallKind::Transaction { entries } => self.write_began(request, entries, Repeat::Never),
         });
         let call = Call {
             client: self.number,
             connection: self.connection,
             request,
             token: self.token.clone(),
-            wish,
+            kind,
         };
         self.busy = Some(Busy {
             call: call.clone(),
@@ -101,13 +104,13 @@
         (0..count).map(|_| entry(environment.unique())).collect()
     }
 
-    /// The write to send again, if there is one.
-    pub fn take_again(&mut self) -> Option<Wish> {
-        self.again.take()
+    /// Takes the last write that was answered as not run, to send it not_run_write.
+    pub fn take_not_run_write(&mut self) -> Option<CallKind> {
+        self.not_run_write.take()
     }
 
-    /// Takes a message; true if the caller should connect elsewhere.
-    pub fn take(&mut self, environment: &mut Environment, message: ClientMessage) -> bool {
+    /// Handles an answer; returns true if the caller should connect to another node.
+    pub fn handle_answer(&mut self, environment: &mut Environment, message: ClientMessage) -> bool {
         let current = message.connection == self.connection;
         let busy = self
             .busy
@@ -122,7 +125,7 @@
 
     fn end(&mut self, environment: &mut Environment, call: Call, answer: ClientAnswer) {
         let request = call.request;
-        let lookup = matches!(call.wish, Wish::Lookup { .. });
+        let lookup = matches!(call.kind, CallKind::Lookup { .. });
         let answer = match answer {
             ClientAnswer::GoElsewhere if lookup => ClientAnswer::Lookup(LookupAnswer::Failed),
             ClientAnswer::GoElsewhere => ClientAnswer::Write(WriteOutcome::NotRun),
@@ -131,7 +134,7 @@
         match answer {
             ClientAnswer::Write(outcome) => {
                 environment.record(Event::WriteEnded(WriteEnded { request, outcome }));
-                self.note_outcome(call.wish, outcome);
+                self.record_outcome(call.kind, outcome);
             }
             ClientAnswer::Lookup(answer) => {
                 self.failed_lookups += usize::from(answer == LookupAnswer::Failed);
@@ -141,29 +144,29 @@
         }
     }
 
-    fn note_outcome(&mut self, wish: Wish, outcome: WriteOutcome) {
-        let entries = match &wish {
-            Wish::Lookup { .. } => return,
-            Wish::Write { entries, .. } | Wish::Transaction { entries } => entries,
+    fn record_outcome(&mut self, kind: CallKind, outcome: WriteOutcome) {
+        let entries = match &kind {
+            CallKind::Lookup { .. } => return,
+            CallKind::Write { entries, .. } | CallKind::Transaction { entries } => entries,
         };
         match outcome {
             WriteOutcome::Acknowledged => {
                 let keys = entries.iter().map(|entry| entry.key.clone());
-                self.own.extend(keys);
+                self.acknowledged_keys.extend(keys);
             }
             WriteOutcome::Unknown => {}
-            WriteOutcome::NotRun => self.again = Some(wish),
+            WriteOutcome::NotRun => self.not_run_write = Some(kind),
         }
     }
 
-    /// The connection is gone; what was under way is of unknown outcome.
+    /// Ends the caller's connection: a lookup in flight fails, a write in flight has an unknown outcome.
     pub fn hang_up(&mut self, environment: &mut Environment) {
         self.connection += 1;
         let Some(busy) = self.busy.take() else {
             return;
         };
-        let answer = match busy.call.wish {
-            Wish::Lookup { .. } => ClientAnswer::Lookup(LookupAnswer::Failed),
+        let answer = match busy.call.kind {
+            CallKind::Lookup { .. } => ClientAnswer::Lookup(LookupAnswer::Failed),
             _ => ClientAnswer::Write(WriteOutcome::Unknown),
         };
         self.end(environment, busy.call, answer);
@@ -173,9 +176,9 @@
         self.token = None;
     }
 
-    pub fn lost_patience(&self, now: Timestamp) -> bool {
+    pub fn is_overdue(&self, now: Timestamp) -> bool {
         self.busy
             .as_ref()
-            .is_some_and(|busy| busy.since + PATIENCE <= now)
+            .is_some_and(|busy| busy.since + REQUEST_TIMEOUT <= now)
     }
 }
--- a/crates/dyketally/tests/fuzz/configuration/follower.rs
+++ b/crates/dyketally/tests/fuzz/configuration/follower.rs
@@ -1,4 +1,4 @@
-//! A node's part: its synchronizer, fed by the service's watch and by its peers.
+//! A node's configuration synchronizer, which receives changes from its watch of the key-value service and from peers.
 
 use std::time::Duration;
 
@@ -14,11 +14,13 @@
 use rand::Rng;
 
 use super::{ServiceMessage, digest_of_change, digest_of_snapshot};
-use crate::environment::{ConnectionId, Environment, Happening, NODES, Place, SERVICE, Side};
+use crate::environment::{ConnectionId, Environment, NODES, Place, SERVICE, ScheduledEvent, Side};
 use crate::messages::Payload;
 use crate::switches::Switch;
 
-const TELL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a node announces its revision to its peers.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of nodes, from node 0 on, that watch the service as relays.
 const RELAYS: usize = 2;
 const SETTINGS: SyncSettings = SyncSettings {
     pull: PullSettings {
@@ -36,7 +38,7 @@
     },
 };
 
-/// Between nodes, in datagrams that may be lost, delayed and doubled.
+/// Messages between nodes, in datagrams that may be lost, delayed or duplicated.
 #[derive(Clone, Debug)]
 pub enum NodeMessage {
     Revision(Revision),
@@ -48,8 +50,10 @@
     place: Place,
     synchronizer: Synchronizer,
     watch: Option<(ConnectionId, WatchId)>,
-    told_at: Timestamp,
-    assigned: bool,
+    /// When the node last announced its revision.
+    announced_at: Timestamp,
+    /// Whether the synchronizer has received its list of relays.
+    relays_set: bool,
 }
 
 fn name(place: Place) -> NodeName {
@@ -67,8 +71,8 @@
             place,
             synchronizer: Synchronizer::new(name(place), SETTINGS, place as u64),
             watch: None,
-            told_at: Timestamp::ZERO,
-            assigned: false,
+            announced_at: Timestamp::ZERO,
+            relays_set: false,
         }
     }
 
@@ -78,40 +82,45 @@
 
     pub fn tick(&mut self, environment: &mut Environment) {
         let now = environment.now(self.place);
-        if !std::mem::replace(&mut self.assigned, true) {
+        if !std::mem::replace(&mut self.relays_set, true) {
             let relays: Vec<_> = (0..RELAYS).map(name).collect();
             let actions = self.synchronizer.set_relays(&relays, RELAYS as u32, now);
             self.carry_out(environment, actions);
         }
         let actions = self.synchronizer.tick(now);
         self.carry_out(environment, actions);
-        if self.told_at + TELL_INTERVAL <= now {
-            self.told_at = now;
+        if self.announced_at + ANNOUNCE_INTERVAL <= now {
+            self.announced_at = now;
             for peer in (0..NODES).filter(|peer| *peer != self.place) {
                 let revision = self.revision();
-                self.tell(environment, peer, NodeMessage::Revision(revision));
+                self.send_datagram(environment, peer, NodeMessage::Revision(revision));
             }
         }
     }
 
-    fn tell(&self, environment: &mut Environment, to: Place, message: NodeMessage) {
+    fn send_datagram(&self, environment: &mut Environment, to: Place, message: NodeMessage) {
         let from = self.place;
         let copies = 1 + usize::from(environment.random.random_ratio(1, 20));
         for _ in 0..copies {
             let message = Box::new(message.clone());
             let delay = environment.datagram_delay(from, to);
-            environment.after(delay, Happening::Datagram { from, to, message });
+            environment.after(delay, ScheduledEvent::Datagram { from, to, message });
         }
     }
 
-    pub fn take(&mut self, environment: &mut Environment, from: Place, message: NodeMessage) {
+    pub fn handle_datagram(
+        &mut self,
+        environment: &mut Environment,
+        from: Place,
+        message: NodeMessage,
+    ) {
         let now = environment.now(self.place);
         let peer = name(from);
         let actions = match message {
             NodeMessage::Revision(revision) => self.synchronizer.peer_revision(peer, revision, now),
             NodeMessage::Pull(request) => {
                 let reply = self.synchronizer.pull_request(request);
-                return self.tell(environment, from, NodeMessage::PullReply(reply));
+                return self.send_datagram(environment, from, NodeMessage::PullReply(reply));
             }
             NodeMessage::PullReply(reply) => {
                 if let PullReply::Changes { changes } = &reply {
@@ -123,7 +132,7 @@
         self.carry_out(environment, actions);
     }
 
-    /// Takes what arrives on a connection; false if it is none of the follower's.
+    /// Handles a payload on the watch's connection; returns false if the payload is for another component.
     pub fn handle(
         &mut self,
         environment: &mut Environment,
@@ -134,7 +143,7 @@
         let report = match payload {
             Payload::Service(message) => match (**message).clone() {
                 ServiceMessage::Report { watch, report } => Some((watch, report)),
-                other => panic!("not for a node: {other:?}"),
+                other => panic!("a node doesn't handle {other:?}"),
             },
             Payload::Closed => {
                 let lost = self.watch.take_if(|(connection, _)| *connection == id);
@@ -154,7 +163,7 @@
         true
     }
 
-    /// With the switch: puts any change in force, however old.
+    /// With [`Switch::OldRevisionApplied`], records every received change as in force, whatever its revision.
     fn apply_unchecked(&self, environment: &mut Environment, changes: &[std::sync::Arc<Change>]) {
         if !environment.has(Switch::OldRevisionApplied) {
             return;
@@ -188,7 +197,7 @@
         for action in actions {
             match action {
                 SyncAction::Pull { peer, request } => {
-                    self.tell(environment, place_of(&peer), NodeMessage::Pull(request));
+                    self.send_datagram(environment, place_of(&peer), NodeMessage::Pull(request));
                 }
                 SyncAction::OpenWatch { watch, have } => {
                     self.close_watch(environment);
--- a/crates/dyketally/tests/fuzz/configuration/mod.rs
+++ b/crates/dyketally/tests/fuzz/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in the simulated system: the key-value service, two operators, and each
+//! Distribution of the configuration in the simulated system: the key-value service, two operators' tools, and each
 //! node's synchronizer.
 
 mod follower;
@@ -18,11 +18,11 @@
 
 use dyketally::configuration::sync::{WatchId, WatchReport};
 
-/// The one document that every change replaces, so that its text tells the newest change.
+/// Name of the document that every change replaces; its text is the newest change's identifier.
 const NEWEST: &str = "newest";
 const KIND: DocumentKind = DocumentKind::Tenant;
 
-/// Between the service and those who use it.
+/// Messages between the key-value service and its clients, which are nodes and operators' tools.
 #[derive(Clone, Debug)]
 pub enum ServiceMessage {
     Current,
--- a/crates/dyketally/tests/fuzz/configuration/operator.rs
+++ b/crates/dyketally/tests/fuzz/configuration/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's tool: reads the revision, then publishes one change on it.
+//! An operator's tool: reads the current revision, then publishes one change based on it.
 
 use std::time::Duration;
 
@@ -22,23 +22,25 @@
     longest_backoff: Duration::from_millis(40),
 };
 
+/// A request to the key-value service.
 #[derive(Clone, Copy, PartialEq)]
-enum Asked {
+enum Request {
     Current,
     Commit,
     ReadBack,
 }
 
-struct Question {
+/// The request that has no reply yet.
+struct PendingRequest {
     connection: ConnectionId,
-    asked: Asked,
-    at: Timestamp,
+    request: Request,
+    sent_at: Timestamp,
 }
 
 pub struct Operator {
     place: Place,
     publisher: Option<Publisher>,
-    question: Option<Question>,
+    pending: Option<PendingRequest>,
     wait_until: Option<Timestamp>,
 }
 
@@ -47,37 +49,42 @@
         Operator {
             place,
             publisher: None,
-            question: None,
+            pending: None,
             wait_until: None,
         }
     }
 
     pub fn publish(&mut self, environment: &mut Environment) {
-        if self.publisher.is_none() && self.question.is_none() {
-            self.ask(environment, Asked::Current, ServiceMessage::Current);
+        if self.publisher.is_none() && self.pending.is_none() {
+            self.send_request(environment, Request::Current, ServiceMessage::Current);
         }
     }
 
-    fn ask(&mut self, environment: &mut Environment, asked: Asked, message: ServiceMessage) {
+    fn send_request(
+        &mut self,
+        environment: &mut Environment,
+        request: Request,
+        message: ServiceMessage,
+    ) {
         let connection = environment.connect(self.place, SERVICE);
         environment.send(
             connection,
             Side::Client,
             Payload::Service(Box::new(message)),
         );
-        self.question = Some(Question {
+        self.pending = Some(PendingRequest {
             connection,
-            asked,
-            at: environment.now(self.place),
+            request,
+            sent_at: environment.now(self.place),
         });
     }
 
     pub fn tick(&mut self, environment: &mut Environment) {
         let now = environment.now(self.place);
-        let overdue = |question: &mut Question| question.at + ANSWER_TIMEOUT <= now;
-        if let Some(question) = self.question.take_if(overdue) {
-            environment.close(question.connection, Side::Client);
-            self.lost(environment, question.asked);
+        let overdue = |pending: &mut PendingRequest| pending.sent_at + ANSWER_TIMEOUT <= now;
+        if let Some(pending) = self.pending.take_if(overdue) {
+            environment.close(pending.connection, Side::Client);
+            self.reply_lost(environment, pending.request);
         }
         if self.wait_until.take_if(|until| *until <= now).is_some()
             && let Some(publisher) = &self.publisher
@@ -88,13 +95,13 @@
     }
 
     pub fn handle(&mut self, environment: &mut Environment, id: ConnectionId, payload: Payload) {
-        let current = |question: &mut Question| question.connection == id;
-        let Some(question) = self.question.take_if(current) else {
+        let current = |pending: &mut PendingRequest| pending.connection == id;
+        let Some(pending) = self.pending.take_if(current) else {
             return;
         };
         let message = match payload {
             Payload::Service(message) => *message,
-            _ => return self.lost(environment, question.asked),
+            _ => return self.reply_lost(environment, pending.request),
         };
         environment.close(id, Side::Client);
         match message {
@@ -104,7 +111,7 @@
                 self.answer(environment, PublisherAnswer::NotCommitted(seen));
             }
             ServiceMessage::Observed(seen) => self.answer(environment, PublisherAnswer::Read(seen)),
-            other => panic!("not for an operator: {other:?}"),
+            other => panic!("an operator doesn't handle {other:?}"),
         }
     }
 
@@ -123,16 +130,16 @@
         self.take_step(environment, step);
     }
 
-    fn lost(&mut self, environment: &mut Environment, asked: Asked) {
+    fn reply_lost(&mut self, environment: &mut Environment, request: Request) {
         let retry_after = Duration::ZERO;
-        match asked {
-            Asked::Current => {}
-            Asked::Commit if environment.has(Switch::LostReplyTakenAsRefusal) => {
+        match request {
+            Request::Current => {}
+            Request::Commit if environment.has(Switch::LostReplyTakenAsRefusal) => {
                 let may_be_accepted = false;
                 self.finish(environment, PublishOutcome::Unavailable { may_be_accepted });
             }
-            Asked::Commit => self.answer(environment, PublisherAnswer::Undetermined),
-            Asked::ReadBack => self.answer(environment, PublisherAnswer::Failed { retry_after }),
+            Request::Commit => self.answer(environment, PublisherAnswer::Undetermined),
+            Request::ReadBack => self.answer(environment, PublisherAnswer::Failed { retry_after }),
         }
     }
 
@@ -151,12 +158,12 @@
         match step {
             PublisherStep::Commit => {
                 let message = ServiceMessage::Commit(publisher.change().clone());
-                self.ask(environment, Asked::Commit, message);
+                self.send_request(environment, Request::Commit, message);
             }
             PublisherStep::ReadBack => {
                 let seen = publisher.seen();
                 let message = ServiceMessage::ReadBack { seen };
-                self.ask(environment, Asked::ReadBack, message);
+                self.send_request(environment, Request::ReadBack, message);
             }
             PublisherStep::WaitUntil(until) => self.wait_until = Some(until),
             PublisherStep::Finished(outcome) => self.finish(environment, outcome),
--- a/crates/dyketally/tests/fuzz/configuration/service.rs
+++ b/crates/dyketally/tests/fuzz/configuration/service.rs
@@ -1,5 +1,5 @@
-//! The platform's key-value service, as far as the configuration needs it. Keeps its data when it
-//! is killed; a cut, a freeze or a kill is an outage.
+//! The platform's key-value service, reduced to what the configuration uses. It keeps its data when it is killed. Cuts,
+//! freezes and kills are its outages.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::messages::Payload;
 use crate::switches::Switch;
 
-/// A watch that lacks more changes gets a snapshot.
+/// A watch that is missing more changes than this receives a snapshot instead.
 const MOST_CHANGES: usize = 3;
 
 #[derive(Default)]
@@ -38,7 +38,7 @@
                 self.watches.remove(&id);
                 return;
             }
-            other => panic!("not for the service: {other:?}"),
+            other => panic!("the service doesn't handle {other:?}"),
         };
         let answer = match message {
             ServiceMessage::Current => ServiceMessage::CurrentIs(self.revision()),
@@ -47,7 +47,7 @@
             ServiceMessage::Watch { watch, have } => {
                 return self.watch(environment, id, watch, have);
             }
-            other => panic!("not for the service: {other:?}"),
+            other => panic!("the service doesn't handle {other:?}"),
         };
         send(environment, id, answer);
     }
--- a/crates/dyketally/tests/fuzz/database.rs
+++ b/crates/dyketally/tests/fuzz/database.rs
@@ -1,30 +1,33 @@
-//! One member of a group: a log, asynchronous replication, votes that are denied to logs that
-//! are behind, and a primary that leads on as long as it hears of no higher term.
+//! One member of a group. Replication is asynchronous, a member denies its vote to a candidate whose log is behind its
+//! own, and a primary remains primary until it receives a higher term.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use dyketally::group::{LogPosition, MemberStatus, Role, Term};
 use dyketally::history::{
-    Entry, Event, Key, LookupAnswer, Statement as Ran, TransactionEnd, TransactionName,
+    Entry, Event, Key, LookupAnswer, Statement as RecordedStatement, TransactionEnd,
+    TransactionName,
 };
 use dyketally::identifiers::DatabaseName;
 use dyketally::time::Timestamp;
 
 use crate::environment::{
-    ConnectionId, Environment, Happening, MEMBERS, Place, Side, database_place,
+    ConnectionId, Environment, MEMBERS, Place, ScheduledEvent, Side, database_place,
 };
-use crate::messages::{Labelled, LedgerAnswer, Payload, Replicate, Reply, Statement};
+use crate::messages::{LabelledStatement, LedgerAnswer, Payload, Replicate, Reply, Statement};
 
+/// Connections that a database accepts; status lines and resolvers' connections don't count.
 const CONNECTION_LIMIT: usize = 5;
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(30);
+/// Interval of a database's ticks, in microseconds.
 pub const TICK: u64 = 5_000;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogEntry {
     pub term: Term,
     pub entries: Vec<Entry>,
-    /// An entry of the ledger, made in the same transaction.
+    /// The ledger entry (key and value) that was written in the same transaction.
     pub ledger: Option<(u64, LedgerAnswer)>,
 }
 
@@ -35,6 +38,7 @@
 
 #[derive(Default)]
 struct Connection {
+    /// Whether the connection counts against the limit.
     counted: bool,
     transaction: Option<Transaction>,
 }
@@ -46,10 +50,11 @@
     pub term: Term,
     pub log: Vec<LogEntry>,
     pub leaving: bool,
-    /// Delay of what it replicates from the primary.
+    /// Extra delay of replication from the primary to this member, in microseconds.
     pub lag: u64,
     connections: BTreeMap<ConnectionId, Connection>,
-    last_heard: Timestamp,
+    /// When the member last received the primary's log, voted for a candidate, restarted or started an election.
+    last_contact: Timestamp,
 }
 
 pub fn member_name(member: usize) -> DatabaseName {
@@ -82,7 +87,7 @@
             leaving: false,
             lag: 0,
             connections: BTreeMap::new(),
-            last_heard: Timestamp::ZERO,
+            last_contact: Timestamp::ZERO,
         }
     }
 
@@ -104,21 +109,22 @@
     pub fn restarted(&mut self, now: Timestamp) {
         self.role = Role::Replica;
         self.connections.clear();
-        self.last_heard = now;
+        self.last_contact = now;
     }
 
     pub fn wants_election(&self, now: Timestamp) -> bool {
         let stagger = Duration::from_millis(12 * self.member as u64);
         self.role == Role::Replica
             && !self.leaving
-            && now.saturating_since(self.last_heard) > ELECTION_TIMEOUT + stagger
+            && now.saturating_since(self.last_contact) > ELECTION_TIMEOUT + stagger
     }
 
     pub fn retry_election_later(&mut self, now: Timestamp) {
-        self.last_heard = now;
+        self.last_contact = now;
     }
 
-    /// Hears of a term; true if the vote is granted to a candidate whose log ends at `candidate`.
+    /// Handles a request for a vote in `term`; returns whether the vote is granted to a candidate whose log ends at
+    /// `candidate`.
     pub fn vote(&mut self, term: Term, candidate: LogPosition, now: Timestamp) -> bool {
         if term <= self.term {
             return false;
@@ -126,7 +132,7 @@
         self.enter(term);
         let granted = candidate >= self.status().log;
         if granted {
-            self.last_heard = now;
+            self.last_contact = now;
         }
         granted
     }
@@ -137,7 +143,7 @@
         self.append(Vec::new(), None);
     }
 
-    /// Steps down, if it leads, and goes over to `term`.
+    /// Becomes a replica in `term` and aborts open transactions. A member in a higher term stays in that term.
     pub fn enter(&mut self, term: Term) {
         self.term = self.term.max(term);
         self.role = Role::Replica;
@@ -155,7 +161,7 @@
         if message.term > self.term {
             self.enter(message.term);
         }
-        self.last_heard = now;
+        self.last_contact = now;
         if !self.log.starts_with(&message.log) {
             self.log = message.log;
         }
@@ -172,7 +178,7 @@
                 log: self.log.clone(),
             });
             let delay = environment.latency(from, to) + lags[member];
-            environment.after(delay, Happening::Replicate { from, to, message });
+            environment.after(delay, ScheduledEvent::Replicate { from, to, message });
         }
     }
 
@@ -191,7 +197,7 @@
                     connection: id.0,
                 });
             }
-            other => panic!("not for a database: {other:?}"),
+            other => panic!("a database doesn't handle {other:?}"),
         }
     }
 
@@ -222,11 +228,11 @@
         &mut self,
         environment: &mut Environment,
         id: ConnectionId,
-        labelled: &Labelled,
+        labelled: &LabelledStatement,
     ) -> Reply {
         let (reply, end) = self.carry_out(id, &labelled.statement);
         if !matches!(labelled.statement, Statement::Status) {
-            environment.record(Event::Statement(Ran {
+            environment.record(Event::Statement(RecordedStatement {
                 database: member_name(self.member),
                 connection: id.0,
                 transaction: TransactionName(labelled.transaction_name.clone()),
--- a/crates/dyketally/tests/fuzz/database_home/confirming.rs
+++ b/crates/dyketally/tests/fuzz/database_home/confirming.rs
@@ -1,9 +1,9 @@
-//! Status lines and confirmation rounds.
+//! Confirmation rounds of reads and writes, and the status lines that they use.
 
 use super::*;
 
 impl DatabaseHome {
-    pub(super) fn take_status_answer(
+    pub(super) fn handle_status_answer(
         &mut self,
         environment: &mut Environment,
         answer: crate::status_lines::StatusAnswer,
@@ -11,15 +11,15 @@
         let now = environment.now(self.place);
         let member = member_name(answer.member);
         self.view
-            .observe(now, &member, answer.status, answer.asked_at);
+            .observe(now, &member, answer.status, answer.requested_at);
         if let Some(round) = answer.round {
-            let status = self.judged_status(environment, answer.status);
+            let status = self.status_for_confirmation(environment, answer.status);
             self.confirmations.answered(round, &member, status);
         }
         self.run_rounds(environment);
     }
 
-    pub(super) fn judged_status(
+    pub(super) fn status_for_confirmation(
         &self,
         environment: &Environment,
         mut status: MemberStatus,
@@ -44,10 +44,12 @@
         let now = environment.now(self.place);
         while let Some(round) = self.confirmations.start_round(now) {
             for member in round.members {
-                if !self
-                    .lines
-                    .ask(environment, now, member_of(&member), Some(round.number))
-                {
+                if !self.lines.request_status(
+                    environment,
+                    now,
+                    member_of(&member),
+                    Some(round.number),
+                ) {
                     self.confirmations.failed(round.number, &member);
                 }
             }
@@ -86,11 +88,11 @@
         }
     }
 
-    pub(super) fn take_status_behind(
+    pub(super) fn handle_status_after_write(
         &mut self,
         environment: &mut Environment,
         id: JobId,
-        behind: MemberStatus,
+        status_after: MemberStatus,
     ) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -104,23 +106,27 @@
             true => Confirmation::MajorityTerm,
             false => Confirmation::MajorityPosition,
         };
-        // Half of the time that is left is kept for finding out what became of a recorded write.
+        // For a recorded write, half of the remaining time is reserved for resolving its outcome.
         let now = environment.now(self.place);
         let confirm_by = match job.execute.operation.is_recorded() {
             true => now + job.deadline.saturating_since(now) / 2,
             false => job.deadline,
         };
-        let any_term = environment.has(Switch::AnyTermBehind) && behind.role == Role::Primary;
+        let any_term = environment.has(Switch::AnyTermBehind) && status_after.role == Role::Primary;
         let write = FinishedWrite {
-            sent_in: if any_term { behind.term } else { job.sent_in },
-            behind: self.judged_status(environment, behind),
+            sent_in: if any_term {
+                status_after.term
+            } else {
+                job.sent_in
+            },
+            behind: self.status_for_confirmation(environment, status_after),
             mode,
             deadline: confirm_by,
         };
         self.release(environment, id);
         if environment.has(Switch::NoConfirmation) {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.seen = Some(behind.log);
+                job.seen = Some(status_after.log);
             }
             return self.complete(environment, id);
         }
--- a/crates/dyketally/tests/fuzz/database_home/drain.rs
+++ b/crates/dyketally/tests/fuzz/database_home/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving of a database: no new work, and what is in flight has a while to end.
+//! Drain of a database that is leaving: it gets no new statements, and those in flight have a grace period to end.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,7 +13,7 @@
     Left,
 }
 
-/// Leaving of a database, from the first notice of it to its last statement.
+/// The state of a database's drain, from the first notice that it is leaving until its last statement has ended.
 pub struct DatabaseDrain {
     grace: Duration,
     phase: Phase,
@@ -21,7 +21,7 @@
 }
 
 impl DatabaseDrain {
-    /// A database that gets work. Once it leaves, work in flight has `grace` to end.
+    /// A database that is not leaving. From the notice on, statements in flight have `grace` to end.
     pub fn new(grace: Duration) -> Self {
         DatabaseDrain {
             grace,
@@ -30,22 +30,22 @@
         }
     }
 
-    /// Whether fresh statements may be sent.
+    /// Whether statements that don't continue a transaction may be sent to the database.
     pub fn accepts_new_work(&self) -> bool {
         matches!(self.phase, Phase::Serving)
     }
 
-    /// A statement or a transaction began at the database.
+    /// Records that a statement or a transaction began at the database.
     pub fn begin(&mut self, job: JobId) {
         self.in_flight.insert(job);
     }
 
-    /// A statement or a transaction ended.
+    /// Records that a statement or a transaction ended.
     pub fn end(&mut self, job: JobId) {
         self.in_flight.remove(&job);
     }
 
-    /// The database is leaving. Later notices don't move the deadline.
+    /// Handles the notice that the database is leaving. Only the first notice sets the deadline.
     pub fn notice(&mut self, now: Timestamp) {
         if matches!(self.phase, Phase::Serving) {
             let deadline = now + self.grace;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The work that did not end in time, told once.
+    /// Jobs that are still in flight at the deadline; each is returned once.
     pub fn take_overdue(&mut self, now: Timestamp) -> BTreeSet<JobId> {
         let Phase::Leaving { deadline } = self.phase else {
             return BTreeSet::new();
--- a/crates/dyketally/tests/fuzz/database_home/mod.rs
+++ b/crates/dyketally/tests/fuzz/database_home/mod.rs
@@ -1,4 +1,4 @@
-//! The home of one database: queue, pool, view of the group and confirmation rounds.
+//! The home of one database: its queue, its connection pool, its view of the group and its confirmation rounds.
 
 mod confirming;
 mod drain;
@@ -29,9 +29,10 @@
 use crate::environment::{ConnectionId, Environment, MEMBERS, Place, Side, database_place};
 use crate::home::{JobId, finish, tenant_of};
 use crate::messages::{
-    Completion, Execute, Labelled, LedgerAnswer, Operation, Payload, Reply, SessionKey, Statement,
+    Completion, Execute, LabelledStatement, LedgerAnswer, Operation, Payload, Reply, SessionKey,
+    Statement,
 };
-use crate::status_lines::{Answer, StatusLines};
+use crate::status_lines::{LineEvent, StatusLines};
 use crate::switches::Switch;
 
 use drain::DatabaseDrain;
@@ -40,42 +41,42 @@
 const CONNECTION_LIMIT: u32 = 5;
 const QUEUE_LIMIT: u32 = 8;
 const DRAIN_GRACE: Duration = Duration::from_millis(400);
-/// Time that a database gets to answer what was sent before it was found to be replaced.
+/// Time that a replaced primary has to answer statements that were sent to it earlier.
 const REPLACED_GRACE: Duration = Duration::from_millis(20);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(60);
 
+/// A reply that is outstanding on a connection.
 pub(super) enum Expected {
-    /// The status that a decision waits for.
-    Status {
-        job: JobId,
-        asked_at: Timestamp,
-    },
-    Result {
-        job: JobId,
-    },
-    /// The status behind a write.
-    Behind {
-        job: JobId,
-        asked_at: Timestamp,
-    },
+    /// The status that the decision whether to serve a job waits for.
+    Status { job: JobId, requested_at: Timestamp },
+    /// The reply to the job's own statement.
+    Result { job: JobId },
+    /// The status that is read right after a write or a commit, on the same connection.
+    StatusAfterWrite { job: JobId, requested_at: Timestamp },
 }
 
+/// A connection to the database.
 pub(super) struct Wire {
+    /// The connection's identifier in the pool.
     pub(super) pooled: pool::ConnectionId,
     pub(super) opened_at: Option<Timestamp>,
     pub(super) opening_since: Timestamp,
+    /// Outstanding replies in the order of their statements.
     pub(super) expected: Vec<Expected>,
+    /// The transaction that the connection is reserved for.
     pub(super) pinned: Option<Pin>,
 }
 
+/// The session and transaction that a connection is reserved for.
 #[derive(Clone, Copy)]
 pub(super) struct Pin {
     pub(super) session: SessionKey,
     pub(super) link: ConnectionId,
-    /// Known from the second statement on.
+    /// Number of the transaction; none until the transaction's second statement arrives.
     pub(super) transaction: Option<u64>,
 }
 
+/// A request at this home.
 pub(super) struct Job {
     pub(super) execute: Execute,
     pub(super) link: ConnectionId,
@@ -84,17 +85,21 @@
     pub(super) ticket: Option<dyketally::admission::Ticket>,
     pub(super) admitted: bool,
     pub(super) wire: Option<ConnectionId>,
-    /// The statement that counts was sent.
+    /// Whether the job's own statement was sent, not only a status statement before it.
     pub(super) sent: bool,
+    /// The primary's term, as the home knew it when the statement was sent.
     pub(super) sent_in: Term,
     pub(super) reply: Option<Reply>,
-    /// A read's reply waits for a verdict.
+    /// Whether a read's reply is waiting for confirmation by a majority.
     pub(super) unconfirmed: bool,
     pub(super) seen: Option<LogPosition>,
+    /// When to decide again whether to serve the job.
     pub(super) wake_at: Option<Timestamp>,
+    /// When the home found that the database has been replaced as primary since the statement was sent.
     pub(super) replaced_at: Option<Timestamp>,
-    /// Key of the ledger's entry, for a recorded write.
+    /// Key of the ledger entry; only used for a recorded write.
     pub(super) ledger_key: u64,
+    /// Finds out the outcome of a recorded write once it is unknown.
     pub(super) resolver: Option<resolver::Resolver>,
 }
 
@@ -111,7 +116,7 @@
     pub(super) jobs: BTreeMap<JobId, Job>,
     pub(super) drain: DatabaseDrain,
     pub(super) new_connections: Vec<ConnectionId>,
-    /// Asked for anything yet.
+    /// Whether the home has received a request since the node started.
     pub(super) active: bool,
 }
 
@@ -287,7 +292,7 @@
         }
     }
 
-    /// Opens and closes connections, and begins the jobs whose turn it is.
+    /// Opens and closes connections, and starts the jobs that the queue admits.
     pub(super) fn pump(&mut self, environment: &mut Environment) {
         let now = environment.now(self.place);
         let demand = self
@@ -324,8 +329,8 @@
     pub fn handle(&mut self, environment: &mut Environment, id: ConnectionId, payload: &Payload) {
         if self.lines.owns(id) {
             match self.lines.handle(environment.now(self.place), id, payload) {
-                Some(Answer::Status(answer)) => self.take_status_answer(environment, answer),
-                Some(Answer::Lost(lost)) => self.lose_lines(vec![lost]),
+                Some(LineEvent::Status(answer)) => self.handle_status_answer(environment, answer),
+                Some(LineEvent::Lost(lost)) => self.lose_lines(vec![lost]),
                 None => {}
             }
         } else if !self.handle_resolver(environment, id, payload) {
--- a/crates/dyketally/tests/fuzz/database_home/resolver.rs
+++ b/crates/dyketally/tests/fuzz/database_home/resolver.rs
@@ -1,18 +1,19 @@
-//! Finds out at the group's primary what became of a recorded write: bars it there, or finds it in
-//! the ledger, and has the group confirm that.
+//! Resolves the outcome of a recorded write at the group's primary: bars the write in the ledger unless the ledger
+//! already holds it, then has a majority of the group confirm the primary's log.
 
 use super::*;
 
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(60);
-const PAUSE: Duration = Duration::from_millis(5);
+/// Time between the end of an attempt and the start of the next.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// One look at one member.
+/// One attempt to resolve the write, at the member that is the primary in `term`.
 struct Attempt {
     connection: ConnectionId,
     term: Term,
     since: Timestamp,
     ledger: Option<LedgerAnswer>,
-    /// Rounds of this attempt alone.
+    /// Confirmation rounds of this attempt, separate from the home's.
     confirmations: Confirmations<()>,
     lines: StatusLines,
 }
@@ -24,7 +25,7 @@
     new_connections: Vec<ConnectionId>,
 }
 
-/// What became of the write, confirmed by the group.
+/// The outcome of the write, confirmed by a majority of the group.
 pub enum Resolution {
     Committed(LogPosition),
     Barred,
@@ -80,7 +81,7 @@
             false => Statement::Bar { write },
         };
         for statement in [bar, Statement::Status] {
-            let labelled = Labelled {
+            let labelled = LabelledStatement {
                 statement,
                 transaction_name: format!("ledger-{}", environment.unique()),
                 write: None,
@@ -107,7 +108,7 @@
     fn give_up(&mut self, environment: &mut Environment, attempt: Attempt, now: Timestamp) {
         environment.close(attempt.connection, Side::Client);
         attempt.lines.close(environment);
-        self.next_attempt = now + PAUSE;
+        self.next_attempt = now + RETRY_DELAY;
     }
 
     pub fn handle(
@@ -120,8 +121,8 @@
         let attempt = self.attempt.as_mut()?;
         if attempt.lines.owns(id) {
             match attempt.lines.handle(now, id, payload) {
-                Some(Answer::Status(answer)) => attempt.take_round_answer(answer),
-                Some(Answer::Lost(lost)) => attempt.fail_rounds(lost),
+                Some(LineEvent::Status(answer)) => attempt.handle_round_answer(answer),
+                Some(LineEvent::Lost(lost)) => attempt.fail_rounds(lost),
                 None => {}
             }
             return self.advance(environment, now);
@@ -149,9 +150,12 @@
         let attempt = self.attempt.as_mut()?;
         while let Some(round) = attempt.confirmations.start_round(now) {
             for member in round.members {
-                let asked = member_of(&member);
+                let index = member_of(&member);
                 let number = Some(round.number);
-                if !attempt.lines.ask(environment, now, asked, number) {
+                if !attempt
+                    .lines
+                    .request_status(environment, now, index, number)
+                {
                     attempt.confirmations.failed(round.number, &member);
                 }
             }
@@ -173,7 +177,7 @@
 }
 
 impl Attempt {
-    fn take_round_answer(&mut self, answer: crate::status_lines::StatusAnswer) {
+    fn handle_round_answer(&mut self, answer: crate::status_lines::StatusAnswer) {
         if let Some(round) = answer.round {
             let member = member_name(answer.member);
             self.confirmations.answered(round, &member, answer.status);
--- a/crates/dyketally/tests/fuzz/database_home/resolving.rs
+++ b/crates/dyketally/tests/fuzz/database_home/resolving.rs
@@ -1,10 +1,12 @@
-//! Recorded writes of unknown outcome.
+//! Runs the resolvers of recorded writes whose outcome is unknown.
 
 use super::resolver::{Resolution, Resolver};
 use super::*;
 
 impl DatabaseHome {
-    /// Begins to find out what became of a recorded write; false if that is not to be done.
+    /// Starts a resolver for a recorded write of unknown outcome. Returns false if the job isn't a recorded write that
+    /// was sent, has a resolver already, or is past its
+    /// deadline.
     pub(super) fn resolve_write(&mut self, environment: &mut Environment, id: JobId) -> bool {
         let now = environment.now(self.place);
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Takes what arrives on a connection of a resolver; false if there is none such.
+    /// Handles a payload on a resolver's connection; returns false if no resolver opened the connection.
     pub(super) fn handle_resolver(
         &mut self,
         environment: &mut Environment,
--- a/crates/dyketally/tests/fuzz/database_home/running.rs
+++ b/crates/dyketally/tests/fuzz/database_home/running.rs
@@ -1,9 +1,9 @@
-//! What a job does on its connection.
+//! Running of a job: decides whether to serve it, sends its statement and completes it.
 
 use super::*;
 
 impl DatabaseHome {
-    /// Begins or goes on with a job that has a connection.
+    /// Starts or continues an admitted job, as the home's view of the group allows.
     pub(super) fn begin(&mut self, environment: &mut Environment, id: JobId) {
         let now = environment.now(self.place);
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// With the switch: whether answers from before the read make a majority.
+    /// With [`Switch::EarlyRound`], whether a majority was in `term` by status replies from before the read.
     pub(super) fn confirmed_early(&self, environment: &Environment, term: Term) -> bool {
         let in_term = self.view.members().filter(|member| {
             let seen = self.view.status(member);
@@ -77,9 +77,9 @@
         &mut self,
         environment: &mut Environment,
         id: JobId,
-        asked_at: Timestamp,
+        requested_at: Timestamp,
     ) {
-        let labelled = Labelled {
+        let labelled = LabelledStatement {
             statement: Statement::Status,
             transaction_name: String::new(),
             write: None,
@@ -88,7 +88,10 @@
             environment,
             id,
             labelled,
-            Expected::Status { job: id, asked_at },
+            Expected::Status {
+                job: id,
+                requested_at,
+            },
         );
     }
 
@@ -98,7 +101,7 @@
         };
         job.sent = true;
         let execute = &job.execute;
-        let (statement, behind) = match execute.operation.clone() {
+        let (statement, status_follows) = match execute.operation.clone() {
             Operation::Lookup { key } => (Statement::Lookup { key }, false),
             Operation::Write { entries, recorded } => {
                 let ledger_key = recorded.then_some(job.ledger_key);
@@ -122,15 +125,15 @@
             true => format!("single-{}", environment.unique()),
             false => execute.transaction_name.clone(),
         };
-        let labelled = Labelled {
+        let labelled = LabelledStatement {
             statement,
             transaction_name,
-            write: execute.write.filter(|_| behind),
+            write: execute.write.filter(|_| status_follows),
         };
         self.send(environment, id, labelled, Expected::Result { job: id });
-        if behind {
-            let asked_at = environment.now(self.place);
-            let labelled = Labelled {
+        if status_follows {
+            let requested_at = environment.now(self.place);
+            let labelled = LabelledStatement {
                 statement: Statement::Status,
                 transaction_name: String::new(),
                 write: None,
@@ -139,7 +142,10 @@
                 environment,
                 id,
                 labelled,
-                Expected::Behind { job: id, asked_at },
+                Expected::StatusAfterWrite {
+                    job: id,
+                    requested_at,
+                },
             );
         }
     }
@@ -148,7 +154,7 @@
         &mut self,
         environment: &mut Environment,
         id: JobId,
-        labelled: Labelled,
+        labelled: LabelledStatement,
         expected: Expected,
     ) {
         let wire_id = self.jobs.get(&id).and_then(|job| job.wire);
@@ -165,7 +171,7 @@
         }
     }
 
-    /// Answers a job whose reply has come and is confirmed, if that was needed.
+    /// Completes a job once its reply has arrived and, where required, is confirmed.
     pub(super) fn complete(&mut self, environment: &mut Environment, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -199,7 +205,7 @@
                 }
                 Completion::RolledBack
             }
-            // Only possible with a connection that was returned while busy.
+            // Happens only with `Switch::BusyConnectionReturned`, when the reply belongs to another job.
             Reply::Status(_) | Reply::Ledger(_) => Completion::Unknown,
         };
         self.finish(environment, id, completion);
@@ -239,7 +245,8 @@
         self.finish(environment, id, completion);
     }
 
-    /// Gives up on writes whose database hears of a higher term and doesn't answer.
+    /// Ends writes with an unknown outcome if the group has a higher term than at their sending and the database hasn't
+    /// answered within [`REPLACED_GRACE`].
     pub(super) fn give_up_replaced(&mut self, environment: &mut Environment, now: Timestamp) {
         let highest = self.view.highest_term();
         let mut overdue = Vec::new();
--- a/crates/dyketally/tests/fuzz/database_home/sessions.rs
+++ b/crates/dyketally/tests/fuzz/database_home/sessions.rs
@@ -1,9 +1,9 @@
-//! Transactions and sessions that end.
+//! Connections pinned to transactions, cancelled requests, and the end of sessions and links.
 
 use super::*;
 
 impl DatabaseHome {
-    /// Finds the connection of the job's transaction.
+    /// Assigns the job the connection that its transaction is pinned to; returns false if there is none.
     pub(super) fn take_pinned_wire(&mut self, environment: &mut Environment, id: JobId) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else {
             return false;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// An edge's link has ended: its transactions are rolled back, its requests given up.
+    /// Handles the loss of an edge's link: rolls back its transactions and cancels its requests.
     pub fn lose_link(&mut self, environment: &mut Environment, link: ConnectionId) {
         let requests = self.jobs.values().filter(|job| job.link == link);
         let requests: Vec<_> = requests.map(|job| job.execute.request).collect();
--- a/crates/dyketally/tests/fuzz/database_home/wires.rs
+++ b/crates/dyketally/tests/fuzz/database_home/wires.rs
@@ -1,4 +1,4 @@
-//! Connections to the database: opened, used, returned and lost.
+//! Connections of the home's pool to its database (wires): opening, replies, return to the pool, and loss.
 
 use super::*;
 
@@ -82,11 +82,11 @@
             Payload::Ran(reply) => {
                 if !wire.expected.is_empty() {
                     let expected = wire.expected.remove(0);
-                    self.take_reply(environment, expected, reply.clone());
+                    self.handle_reply(environment, expected, reply.clone());
                 }
             }
             Payload::Closed => self.lose_wire(environment, id),
-            other => panic!("not for a home: {other:?}"),
+            other => panic!("a home doesn't handle {other:?}"),
         }
     }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    /// A connection has ended by itself.
+    /// Handles a connection that the database closed: ends the jobs on it.
     pub(super) fn lose_wire(&mut self, environment: &mut Environment, id: ConnectionId) {
         let Some(wire) = self.wires.remove(&id) else {
             return;
@@ -144,7 +144,7 @@
         }
     }
 
-    pub(super) fn take_reply(
+    pub(super) fn handle_reply(
         &mut self,
         environment: &mut Environment,
         expected: Expected,
@@ -152,8 +152,9 @@
     ) {
         let now = environment.now(self.place);
         match (expected, reply) {
-            (Expected::Status { job, asked_at }, Reply::Status(status)) => {
-                self.view.observe(now, &self.name.clone(), status, asked_at);
+            (Expected::Status { job, requested_at }, Reply::Status(status)) => {
+                self.view
+                    .observe(now, &self.name.clone(), status, requested_at);
                 self.begin(environment, job);
             }
             (Expected::Result { job }, reply) => {
@@ -165,18 +166,19 @@
                     self.complete(environment, job);
                 }
             }
-            (Expected::Behind { job, asked_at }, Reply::Status(status)) => {
-                self.view.observe(now, &self.name.clone(), status, asked_at);
-                self.take_status_behind(environment, job, status);
+            (Expected::StatusAfterWrite { job, requested_at }, Reply::Status(status)) => {
+                self.view
+                    .observe(now, &self.name.clone(), status, requested_at);
+                self.handle_status_after_write(environment, job, status);
             }
-            // Only possible with a connection that was returned while busy.
-            (Expected::Status { job, .. } | Expected::Behind { job, .. }, _) => {
+            // Happens only with `Switch::BusyConnectionReturned`, when the reply belongs to another job.
+            (Expected::Status { job, .. } | Expected::StatusAfterWrite { job, .. }, _) => {
                 self.finish(environment, job, Completion::Unknown);
             }
         }
     }
 
-    /// Gives slot and connection back, once; the job may still wait for its confirmation.
+    /// Returns the job's slot and connection, once. The job may still be waiting for confirmation.
     pub(super) fn release(&mut self, environment: &mut Environment, id: JobId) {
         let now = environment.now(self.place);
         let Some(job) = self.jobs.get_mut(&id) else {
--- a/crates/dyketally/tests/fuzz/edge/completions.rs
+++ b/crates/dyketally/tests/fuzz/edge/completions.rs
@@ -1,4 +1,4 @@
-//! How requests end at their homes, and what the edge does next.
+//! Handling of completions and lost links: answers the caller, routes the request again or fails it.
 
 use super::*;
 
@@ -8,7 +8,7 @@
             .callers
             .iter()
             .filter_map(|(client, caller)| {
-                let (on, _, member) = caller.request.as_ref()?.at_home?;
+                let (on, _, member) = caller.request.as_ref()?.awaited?;
                 (on == link).then_some((*client, member))
             })
             .collect();
@@ -30,7 +30,7 @@
         completion: Completion,
     ) {
         let waiting = self.callers.iter().filter_map(|(client, caller)| {
-            let (on, waits_for, member) = caller.request.as_ref()?.at_home?;
+            let (on, waits_for, member) = caller.request.as_ref()?.awaited?;
             (on == link).then_some((waits_for, *client, member))
         });
         let by_order = environment.has(Switch::RepliesMatchedByOrder);
@@ -44,7 +44,7 @@
             return;
         };
         if let Some(request) = self.request(client) {
-            request.at_home = None;
+            request.awaited = None;
         }
         match completion {
             Completion::Done {
@@ -81,11 +81,11 @@
             return;
         };
         request.step += 1;
-        let answer = match (&request.call.wish, answer) {
-            (Wish::Lookup { .. }, Some(answer)) => ClientAnswer::Lookup(answer),
-            // Only possible with replies matched by their order.
-            (Wish::Lookup { .. }, None) => ClientAnswer::Lookup(LookupAnswer::Absent),
-            (Wish::Transaction { entries }, _) if request.step < entries.len() + 2 => {
+        let answer = match (&request.call.kind, answer) {
+            (CallKind::Lookup { .. }, Some(answer)) => ClientAnswer::Lookup(answer),
+            // Happens only with `Switch::RepliesMatchedByOrder`, when the reply belongs to another request.
+            (CallKind::Lookup { .. }, None) => ClientAnswer::Lookup(LookupAnswer::Absent),
+            (CallKind::Transaction { entries }, _) if request.step < entries.len() + 2 => {
                 return self.advance(environment, client);
             }
             _ => ClientAnswer::Write(WriteOutcome::Acknowledged),
@@ -137,17 +137,17 @@
         self.advance(environment, client);
     }
 
-    /// The statement may have been run.
+    /// Handles an attempt of unknown outcome: the statement may have been run.
     pub(super) fn unknown(&mut self, environment: &mut Environment, client: usize) {
-        let again = environment.has(Switch::ResendAfterSend);
+        let resends = environment.has(Switch::ResendAfterSend);
         let forgets = environment.has(Switch::EarlierAttemptForgotten);
         let Some(request) = self.request(client) else {
             return;
         };
-        request.at_home = None;
+        request.awaited = None;
         request.may_have_run |= request.changes_data() && !forgets;
-        // A recorded write is resolved by its home.
-        let repeatable = request.repeat() == Repeat::Repeatable || again;
+        // A recorded write is not repeated here: its home finds out the outcome.
+        let repeatable = request.repeat() == Repeat::Repeatable || resends;
         if request.step == 0 && repeatable {
             return self.advance(environment, client);
         }
--- a/crates/dyketally/tests/fuzz/edge/mod.rs
+++ b/crates/dyketally/tests/fuzz/edge/mod.rs
@@ -1,4 +1,4 @@
-//! The edge of one node: callers' sessions, routes, and the links to homes.
+//! The edge of one node: callers' sessions, choice of routes, and links to homes.
 
 mod completions;
 mod request;
@@ -16,20 +16,23 @@
 use dyketally::time::Timestamp;
 
 use crate::database::{member_name, member_of};
-use crate::environment::{ConnectionId, Environment, Happening, MEMBERS, NODES, Place, Side};
+use crate::environment::{ConnectionId, Environment, MEMBERS, NODES, Place, ScheduledEvent, Side};
 use crate::messages::{
     ClientAnswer, ClientMessage, Completion, Execute, Operation, Payload, SessionKey,
 };
 use crate::switches::Switch;
 use request::{Request, group_name, group_policy, locality};
 
-pub use request::{Call, Wish};
+pub use request::{Call, CallKind};
 
+/// Time from a call's arrival to its deadline.
 const DEADLINE: Duration = Duration::from_millis(400);
-const BELIEVED_DEAD: Duration = Duration::from_millis(80);
+/// Time during which a node is treated as dead after a request to it timed out or its link was lost.
+const TREATED_AS_DEAD: Duration = Duration::from_millis(80);
 
 struct Caller {
     connection: u64,
+    /// Number of the caller's session.
     number: u64,
     session: Session,
     request: Option<Request>,
@@ -45,10 +48,10 @@
     next_request: u64,
     next_session: u64,
     dead_until: [Timestamp; NODES],
-    /// Nodes that said that they are leaving.
+    /// Whether each node has announced that it is leaving.
     pub leaving: [bool; NODES],
-    /// A belief, true or not, about the home of each database.
-    pub believed_home: [Option<Place>; MEMBERS],
+    /// Node that the edge treats as the home of each database, right or wrong; none to choose by rank.
+    pub home_override: [Option<Place>; MEMBERS],
 }
 
 impl Edge {
@@ -64,11 +67,11 @@
             next_session: 0,
             dead_until: [Timestamp::ZERO; NODES],
             leaving: [false; NODES],
-            believed_home: [None; MEMBERS],
+            home_override: [None; MEMBERS],
         }
     }
 
-    pub fn callers_with_work(&self) -> impl Iterator<Item = usize> {
+    pub fn callers_with_requests(&self) -> impl Iterator<Item = usize> {
         let busy = self.callers.iter();
         let busy = busy.filter(|(_, caller)| caller.request.is_some());
         busy.map(|(client, _)| *client)
@@ -78,13 +81,13 @@
         self.callers.keys().copied()
     }
 
-    /// A caller's connection is gone.
+    /// Handles the end of a caller's connection: cancels its request and ends its session.
     pub fn hang_up(&mut self, environment: &mut Environment, client: usize) {
         let Some(caller) = self.callers.remove(&client) else {
             return;
         };
-        let at_home = caller.request.as_ref().and_then(|request| request.at_home);
-        if let Some((link, request, _)) = at_home {
+        let awaited = caller.request.as_ref().and_then(|request| request.awaited);
+        if let Some((link, request, _)) = awaited {
             environment.send(link, Side::Client, Payload::Cancel { request });
         }
         self.end_session(environment, caller.number);
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Tells sessions of two incarnations of a node apart.
+    /// Identifies this edge in session keys, with a different number for each incarnation of the node.
     fn session_edge(&self, environment: &Environment) -> usize {
         self.place + NODES * environment.incarnations[self.place] as usize
     }
@@ -126,10 +129,10 @@
         let request = Request {
             deadline: environment.now(self.place) + DEADLINE,
             attempt: Attempt::default(),
-            choose_at: None,
+            choose_route_at: None,
             step: 0,
             transaction_name: String::new(),
-            at_home: None,
+            awaited: None,
             may_have_run: false,
             call,
         };
@@ -144,7 +147,7 @@
 
     pub fn tick(&mut self, environment: &mut Environment) {
         let now = environment.now(self.place);
-        let clients: Vec<_> = self.callers_with_work().collect();
+        let clients: Vec<_> = self.callers_with_requests().collect();
         for client in clients {
             let request = self
                 .callers
@@ -155,7 +158,7 @@
             };
             if request.deadline <= now {
                 self.give_up(environment, client);
-            } else if request.choose_at.is_some_and(|at| at <= now) {
+            } else if request.choose_route_at.is_some_and(|at| at <= now) {
                 self.advance(environment, client);
             }
         }
@@ -165,17 +168,17 @@
         let Some(request) = self.request(client) else {
             return;
         };
-        let at_home = request.at_home.take();
-        let in_doubt = at_home.is_some() && request.changes_data();
+        let awaited = request.awaited.take();
+        let in_doubt = awaited.is_some() && request.changes_data();
         request.may_have_run |= in_doubt;
-        if let Some((link, request, member)) = at_home {
+        if let Some((link, request, member)) = awaited {
             environment.send(link, Side::Client, Payload::Cancel { request });
             self.suspect(environment, link, member);
         }
         self.fail(environment, client);
     }
 
-    /// Answers a request that won't be tried again.
+    /// Answers a request that is not retried: failed, not run or of unknown outcome.
     fn fail(&mut self, environment: &mut Environment, client: usize) {
         let Some(caller) = self.callers.get_mut(&client) else {
             return;
@@ -184,12 +187,12 @@
             return;
         };
         let in_doubt = request.may_have_run && !environment.has(Switch::UnknownToldNotRun);
-        let answer = match (&request.call.wish, in_doubt) {
-            (Wish::Lookup { .. }, _) => ClientAnswer::Lookup(LookupAnswer::Failed),
+        let answer = match (&request.call.kind, in_doubt) {
+            (CallKind::Lookup { .. }, _) => ClientAnswer::Lookup(LookupAnswer::Failed),
             (_, true) => ClientAnswer::Write(WriteOutcome::Unknown),
             (_, false) => ClientAnswer::Write(WriteOutcome::NotRun),
         };
-        let in_transaction = matches!(request.call.wish, Wish::Transaction { .. });
+        let in_transaction = matches!(request.call.kind, CallKind::Transaction { .. });
         caller.session.transaction_lost();
         let number = caller.number;
         if in_transaction {
@@ -212,7 +215,7 @@
             answer,
             token: caller.session.token(),
         };
-        environment.after(300, Happening::ToClient(message));
+        environment.after(300, ScheduledEvent::ToClient(message));
     }
 
     fn request(&mut self, client: usize) -> Option<&mut Request> {
@@ -228,11 +231,11 @@
         let Some(request) = &mut caller.request else {
             return;
         };
-        if request.at_home.is_some() {
+        if request.awaited.is_some() {
             return;
         }
-        request.choose_at = None;
-        let lookup = matches!(request.call.wish, Wish::Lookup { .. });
+        request.choose_route_at = None;
+        let lookup = matches!(request.call.kind, CallKind::Lookup { .. });
         let mut freshness = caller.session.freshness();
         let no_token = caller.session.token().is_none();
         if environment.has(Switch::TokenIgnored)
@@ -254,7 +257,7 @@
             Route::Send(database) => {
                 self.send(environment, client, member_of(&database), freshness)
             }
-            Route::Wait(until) => request.choose_at = Some(until),
+            Route::Wait(until) => request.choose_route_at = Some(until),
             Route::GiveUp(_) => self.fail(environment, client),
         }
     }
@@ -282,7 +285,7 @@
         let Some(request) = &mut caller.request else {
             return;
         };
-        request.at_home = Some((link, number, member));
+        request.awaited = Some((link, number, member));
         let operation = request.operation();
         if matches!(operation, Operation::Begin) {
             request.transaction_name = format!("transaction-{}", environment.unique());
@@ -305,10 +308,10 @@
         environment.send(link, Side::Client, Payload::Execute(Box::new(execute)));
     }
 
-    /// The node that this edge takes for the home of a database.
+    /// The node that this edge treats as the home of a database.
     fn home_of(&self, now: Timestamp, member: usize) -> Place {
-        if let Some(believed) = self.believed_home[member] {
-            return believed;
+        if let Some(home) = self.home_override[member] {
+            return home;
         }
         let ranked = (0..NODES).map(|rank| (member + rank) % NODES);
         let alive = |node: &Place| self.dead_until[*node] <= now && !self.leaving[*node];
@@ -319,14 +322,14 @@
         let now = environment.now(self.place);
         let node = self.links.iter().find(|(_, known)| **known == link);
         if let Some(node) = node.map(|(node, _)| *node) {
-            self.dead_until[node] = now + BELIEVED_DEAD;
+            self.dead_until[node] = now + TREATED_AS_DEAD;
         }
-        self.believed_home[member] = None;
+        self.home_override[member] = None;
         self.table
             .unreachable(&group_name(), &member_name(member), now);
     }
 
-    /// Takes what arrives on a link; false if it is none of the edge's.
+    /// Handles a payload from a home; returns false if the connection is not one of the edge's links.
     pub fn handle(
         &mut self,
         environment: &mut Environment,
@@ -344,7 +347,7 @@
                 self.finished(environment, link, *request, completion.clone());
             }
             Payload::Closed => self.lose_link(environment, link),
-            other => panic!("not for an edge: {other:?}"),
+            other => panic!("an edge doesn't handle {other:?}"),
         }
         true
     }
--- a/crates/dyketally/tests/fuzz/edge/request.rs
+++ b/crates/dyketally/tests/fuzz/edge/request.rs
@@ -1,10 +1,10 @@
-//! A caller's request at an edge, and the group as the edge knows it.
+//! A caller's request at an edge, and the policy of the group that edges route to.
 
 use super::*;
 
-/// What a caller asks for.
+/// The operation that a caller requests.
 #[derive(Clone, Debug)]
-pub enum Wish {
+pub enum CallKind {
     Lookup {
         key: Key,
     },
@@ -12,12 +12,13 @@
         entries: Vec<Entry>,
         repeat: Repeat,
     },
-    /// A transaction of one statement an entry.
+    /// A transaction with one statement per entry.
     Transaction {
         entries: Vec<Entry>,
     },
 }
 
+/// A caller's request as the caller sends it to an edge.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub client: usize,
@@ -25,32 +26,34 @@
     pub connection: u64,
     pub request: RequestNumber,
     pub token: Option<SessionToken>,
-    pub wish: Wish,
+    pub kind: CallKind,
 }
 
+/// A call with its progress at the edge.
 pub(super) struct Request {
     pub(super) call: Call,
     pub(super) deadline: Timestamp,
     pub(super) attempt: Attempt,
-    pub(super) choose_at: Option<Timestamp>,
-    /// Statements of a transaction that are done.
+    /// When to choose a route again; none if the request isn't waiting for one.
+    pub(super) choose_route_at: Option<Timestamp>,
+    /// Number of statements that are done; more than one only in a transaction.
     pub(super) step: usize,
     pub(super) transaction_name: String,
-    /// Where it is: link, number on the link, database.
-    pub(super) at_home: Option<(ConnectionId, u64, usize)>,
-    /// An attempt that may have changed data ended without an answer.
+    /// The home's outstanding attempt: link to the home, request number on the link, member of the group.
+    pub(super) awaited: Option<(ConnectionId, u64, usize)>,
+    /// Whether an earlier attempt that may have changed data ended without an answer.
     pub(super) may_have_run: bool,
 }
 
 impl Request {
     pub(super) fn operation(&self) -> Operation {
-        match &self.call.wish {
-            Wish::Lookup { key } => Operation::Lookup { key: key.clone() },
-            Wish::Write { entries, repeat } => Operation::Write {
+        match &self.call.kind {
+            CallKind::Lookup { key } => Operation::Lookup { key: key.clone() },
+            CallKind::Write { entries, repeat } => Operation::Write {
                 entries: entries.clone(),
                 recorded: *repeat == Repeat::Recorded,
             },
-            Wish::Transaction { entries } => match self.step.checked_sub(1) {
+            CallKind::Transaction { entries } => match self.step.checked_sub(1) {
                 None => Operation::Begin,
                 Some(index) => match entries.get(index) {
                     Some(entry) => Operation::Add {
@@ -62,16 +65,16 @@
         }
     }
 
-    /// Whether the statement that comes next changes data by itself.
+    /// Whether the request's next statement can change data on its own: a write or a commit.
     pub(super) fn changes_data(&self) -> bool {
         self.operation().may_change_data()
     }
 
     pub(super) fn repeat(&self) -> Repeat {
-        match &self.call.wish {
-            Wish::Lookup { .. } => Repeat::Repeatable,
-            Wish::Write { repeat, .. } => *repeat,
-            Wish::Transaction { .. } => Repeat::Never,
+        match &self.call.kind {
+            CallKind::Lookup { .. } => Repeat::Repeatable,
+            CallKind::Write { repeat, .. } => *repeat,
+            CallKind::Transaction { .. } => Repeat::Never,
         }
     }
 }
--- a/crates/dyketally/tests/fuzz/environment.rs
+++ b/crates/dyketally/tests/fuzz/environment.rs
@@ -1,5 +1,6 @@
-//! Simulated clock, processes and network. Connections deliver in order; a cut or a frozen
-//! process delays what is under way, and a kill may lose it.
+//! Simulated clocks, processes and network. Connections deliver in order. A cut link or a frozen process delays
+//! messages in transit. When a process is killed, messages to it are lost, and the last messages from it may be. Plain
+//! integers that hold times are in microseconds.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -20,7 +21,8 @@
 pub const SERVICE: Place = NODES + MEMBERS;
 pub const PLACES: usize = SERVICE + 1 + OPERATORS;
 
-/// A process: nodes come first, then databases, the key-value service and the operators' tools. Node `n` and database `n` share zone `n`.
+/// Number of a process: nodes come first, then databases, the key-value service and the operators' tools. Node `n` and
+/// database `n` are in zone `n`.
 pub type Place = usize;
 
 pub fn operator_place(operator: usize) -> Place {
@@ -31,7 +33,7 @@
     NODES + member
 }
 
-/// What runs at a place.
+/// The kind of process at a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Process {
     Node,
@@ -70,15 +72,16 @@
 }
 
 struct Connection {
+    // Each array is indexed by `Side`: queues and arrival times by the receiving side.
     places: [Place; 2],
     open: [bool; 2],
     under_way: [VecDeque<Payload>; 2],
     last_arrival: [u64; 2],
 }
 
-/// Something that is due at a time.
-pub enum Happening {
-    /// The next payload towards `to` arrives.
+/// An event that the simulation processes at its due time.
+pub enum ScheduledEvent {
+    /// The next payload to side `to` of the connection arrives.
     Arrival {
         connection: ConnectionId,
         to: Side,
@@ -99,13 +102,13 @@
     Thaw {
         place: Place,
     },
-    /// From node to node.
+    /// A datagram from one node to another.
     Datagram {
         from: Place,
         to: Place,
         message: Box<NodeMessage>,
     },
-    /// The machine list tells a node that a database is leaving.
+    /// A node receives the notice, from the machine list, that a database is leaving.
     LeavingNotice {
         place: Place,
         member: usize,
@@ -113,18 +116,19 @@
     ClientsTick,
 }
 
-impl Happening {
-    /// The process that must run to notice it, for what is not a connection's matter.
-    pub fn reader(&self) -> Option<Place> {
+impl ScheduledEvent {
+    /// The process that receives the event and must be running to process it; none for events on connections and for
+    /// those of the simulation itself.
+    pub fn receiver(&self) -> Option<Place> {
         match self {
-            Happening::Replicate { to, .. } | Happening::Datagram { to, .. } => Some(*to),
-            Happening::LeavingNotice { place, .. } => Some(*place),
+            ScheduledEvent::Replicate { to, .. } | ScheduledEvent::Datagram { to, .. } => Some(*to),
+            ScheduledEvent::LeavingNotice { place, .. } => Some(*place),
             _ => None,
         }
     }
 }
 
-/// A payload for one end of a connection.
+/// A payload that has arrived at one end of a connection.
 pub struct Arrived {
     pub place: Place,
     pub connection: ConnectionId,
@@ -132,25 +136,26 @@
     pub payload: Payload,
 }
 
-/// What takes long on its way to a database.
+/// Which messages to a database are delivered late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held {
-    /// The next statement that changes data, with all that follows it on its connection.
+pub enum DelayTarget {
+    /// The next statement that changes data, and all later messages on its connection.
     Change,
-    /// What follows the next statement that changes data.
-    BehindChange,
+    /// The messages after the next statement that changes data, on the same connection.
+    AfterChange,
 }
 
-struct HoldBack {
-    held: Held,
+/// A delay that applies once, to messages for one database.
+struct DeliveryDelay {
+    target: DelayTarget,
     micros: u64,
-    /// The connection of the change, once it is known.
+    /// The connection on which the statement that changes data was sent; none before that.
     connection: Option<ConnectionId>,
 }
 
 pub struct Environment {
     now: u64,
-    due: BTreeMap<(u64, u64), Happening>,
+    due: BTreeMap<(u64, u64), ScheduledEvent>,
     sequence: u64,
     connections: BTreeMap<ConnectionId, Connection>,
     cuts: BTreeSet<(Place, Place)>,
@@ -162,10 +167,12 @@
     pub history: Vec<Event>,
     pub switch: Option<Switch>,
     unique: u64,
-    hold_backs: BTreeMap<Place, HoldBack>,
+    delivery_delays: BTreeMap<Place, DeliveryDelay>,
 }
 
+/// Time until another try to deliver over a cut link or to a frozen process, in microseconds.
 const RETRY_DELIVERY: u64 = 1_000;
+/// Upper bound of the random extra delay of a message, in microseconds.
 const LONGEST_STALL: u64 = 120_000;
 
 impl Environment {
@@ -184,7 +191,7 @@
             history: Vec::new(),
             switch,
             unique: 0,
-            hold_backs: BTreeMap::new(),
+            delivery_delays: BTreeMap::new(),
         }
     }
 
@@ -192,12 +199,12 @@
         self.switch == Some(switch)
     }
 
-    /// True time, which no process sees.
+    /// The simulation's own time, which is independent of the processes' clocks.
     pub fn world_time(&self) -> Timestamp {
         Timestamp::from_micros(self.now)
     }
 
-    /// Time on the clock of `place`.
+    /// Time by the clock of the process at `place`.
     pub fn now(&self, place: Place) -> Timestamp {
         self.world_time() + self.clock_offsets[place]
     }
@@ -215,22 +222,21 @@
         self.history.push(event);
     }
 
-    pub fn after(&mut self, micros: u64, happening: Happening) {
+    pub fn after(&mut self, micros: u64, event: ScheduledEvent) {
         self.sequence += 1;
-        self.due
-            .insert((self.now + micros, self.sequence), happening);
+        self.due.insert((self.now + micros, self.sequence), event);
     }
 
-    /// Advances to the next happening that is due by `until`.
-    pub fn next(&mut self, until: Timestamp) -> Option<Happening> {
+    /// Advances to the next event that is due by `until`, or to `until` if there is none.
+    pub fn next(&mut self, until: Timestamp) -> Option<ScheduledEvent> {
         let ((at, _), _) = self.due.first_key_value()?;
         if *at > until.as_micros() {
             self.now = self.now.max(until.as_micros());
             return None;
         }
-        let ((at, _), happening) = self.due.pop_first()?;
+        let ((at, _), event) = self.due.pop_first()?;
         self.now = self.now.max(at);
-        Some(happening)
+        Some(event)
     }
 
     pub fn cut(&mut self, from: Place, to: Place) {
@@ -271,36 +277,36 @@
         }
     }
 
-    pub fn hold_back(&mut self, place: Place, held: Held, micros: u64) {
+    pub fn delay_delivery(&mut self, place: Place, target: DelayTarget, micros: u64) {
         let connection = None;
-        let hold_back = HoldBack {
-            held,
+        let delay = DeliveryDelay {
+            target,
             micros,
             connection,
         };
-        self.hold_backs.insert(place, hold_back);
+        self.delivery_delays.insert(place, delay);
     }
 
-    fn held_back(&mut self, id: ConnectionId, place: Place, payload: &Payload) -> u64 {
-        let Some(hold_back) = self.hold_backs.get_mut(&place) else {
+    fn delivery_delay(&mut self, id: ConnectionId, place: Place, payload: &Payload) -> u64 {
+        let Some(delay) = self.delivery_delays.get_mut(&place) else {
             return 0;
         };
-        let due = match (hold_back.held, payload) {
-            _ if hold_back.connection.is_some() => hold_back.connection == Some(id),
-            (held, Payload::Run(labelled)) if labelled.statement.may_change_data() => {
-                hold_back.connection = Some(id);
-                held == Held::Change
+        let due = match (delay.target, payload) {
+            _ if delay.connection.is_some() => delay.connection == Some(id),
+            (target, Payload::Run(labelled)) if labelled.statement.may_change_data() => {
+                delay.connection = Some(id);
+                target == DelayTarget::Change
             }
             _ => false,
         };
-        let micros = hold_back.micros;
+        let micros = delay.micros;
         if due {
-            self.hold_backs.remove(&place);
+            self.delivery_delays.remove(&place);
         }
         if due { micros } else { 0 }
     }
 
-    /// Unlike what a connection carries, datagrams overtake each other.
+    /// Random delay of a datagram, in microseconds. Unlike messages on a connection, datagrams may overtake each other.
     pub fn datagram_delay(&mut self, from: Place, to: Place) -> u64 {
         self.latency(from, to) + self.stall()
     }
@@ -327,7 +333,7 @@
         }
     }
 
-    /// Closes one end; the other learns of it behind what was sent before.
+    /// Closes one end; the other end receives [`Payload::Closed`] after all messages that were sent before.
     pub fn close(&mut self, connection: ConnectionId, side: Side) {
         let Some(known) = self.connections.get_mut(&connection) else {
             return;
@@ -337,7 +343,7 @@
         }
     }
 
-    /// Now and then something takes long: a retransmission, or a process that is not scheduled.
+    /// Random extra delay of a message, for 1 in 40: it stands for a retransmission or a process that isn't scheduled.
     fn stall(&mut self) -> u64 {
         match self.random.random_ratio(1, 40) {
             true => self.random.random_range(0..LONGEST_STALL),
@@ -358,8 +364,8 @@
             Side::Client => client,
             Side::Server => server,
         };
-        let held = self.held_back(id, place, &payload);
-        let arrival = self.now + latency + self.stall() + held;
+        let extra = self.delivery_delay(id, place, &payload);
+        let arrival = self.now + latency + self.stall() + extra;
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
@@ -367,10 +373,13 @@
         connection.last_arrival[to as usize] = arrival;
         connection.under_way[to as usize].push_back(payload);
         let connection = id;
-        self.after(arrival - self.now, Happening::Arrival { connection, to });
+        self.after(
+            arrival - self.now,
+            ScheduledEvent::Arrival { connection, to },
+        );
     }
 
-    /// Takes the payload that arrives, or puts the arrival off.
+    /// Takes the next payload to side `to`, or postpones the arrival if the link is cut or the receiver is frozen.
     pub fn arrive(&mut self, id: ConnectionId, to: Side) -> Option<Arrived> {
         let connection = self.connections.get(&id)?;
         let (place, sender) = (
@@ -378,7 +387,10 @@
             connection.places[to.other() as usize],
         );
         if self.frozen.contains(&place) || !self.reaches(sender, place) {
-            self.after(RETRY_DELIVERY, Happening::Arrival { connection: id, to });
+            self.after(
+                RETRY_DELIVERY,
+                ScheduledEvent::Arrival { connection: id, to },
+            );
             return None;
         }
         let connection = self.connections.get_mut(&id)?;
@@ -397,7 +409,7 @@
         })
     }
 
-    /// Ends a process: what was under way to it is lost, what it sent may be.
+    /// Ends a process. Messages to it are lost; of the messages that it sent, a random number of the last ones is lost.
     pub fn kill(&mut self, place: Place) {
         self.alive[place] = false;
         self.frozen.remove(&place);
--- a/crates/dyketally/tests/fuzz/home.rs
+++ b/crates/dyketally/tests/fuzz/home.rs
@@ -1,4 +1,4 @@
-//! Homes of databases on one node, built from the library's parts.
+//! The homes on one node, one per database, and the dispatch of requests and database messages to them.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 use crate::environment::{ConnectionId, Environment, MEMBERS, Place};
 use crate::messages::{Completion, Execute, Payload, SessionKey};
 
-/// A request that a home has taken, numbered within the node's incarnation.
+/// Number of a request that a home has received, unique within the node's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobId(pub u64);
 
 pub struct Home {
     databases: Vec<DatabaseHome>,
     next_job: u64,
-    /// Which database's home a connection to a database belongs to.
+    /// The member whose home opened each connection to a database.
     owners: BTreeMap<ConnectionId, usize>,
 }
 
@@ -39,7 +39,7 @@
         let job = JobId(self.next_job);
         let member = execute.member;
         self.databases[member].execute(environment, link, job, execute);
-        self.note_owners(member);
+        self.record_owners(member);
     }
 
     pub fn cancel(&mut self, environment: &mut Environment, link: ConnectionId, request: u64) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes what arrives on a connection to a database; false if it is none of the home's.
+    /// Handles a payload from a database; returns false if no home on this node opened the connection.
     pub fn handle(
         &mut self,
         environment: &mut Environment,
@@ -71,14 +71,14 @@
             return false;
         };
         self.databases[member].handle(environment, id, payload);
-        self.note_owners(member);
+        self.record_owners(member);
         true
     }
 
     pub fn tick(&mut self, environment: &mut Environment) {
         for member in 0..MEMBERS {
             self.databases[member].tick(environment);
-            self.note_owners(member);
+            self.record_owners(member);
         }
     }
 
@@ -90,14 +90,14 @@
         self.databases.iter().flat_map(|database| database.jobs())
     }
 
-    fn note_owners(&mut self, member: usize) {
+    fn record_owners(&mut self, member: usize) {
         for connection in self.databases[member].take_new_connections() {
             self.owners.insert(connection, member);
         }
     }
 }
 
-/// Sends the end of a request to its edge.
+/// Sends a request's completion to the edge that sent the request.
 pub fn finish(
     environment: &mut Environment,
     link: ConnectionId,
--- a/crates/dyketally/tests/fuzz/main.rs
+++ b/crates/dyketally/tests/fuzz/main.rs
@@ -1,4 +1,5 @@
-//! Stateful fuzzing of the library's parts in a simulated system, judged by the history checker.
+//! Stateful fuzzing of the library's parts: nodes, databases, callers and operators run in a simulation with random
+//! faults, and the history checker examines what callers and databases observed.
 
 mod actions;
 mod callers;
@@ -20,7 +21,7 @@
 use actions::{Action, Elections, Plan, Step};
 use dyketally::history::Violation;
 use dyketally::policy::Repeat;
-use environment::Held;
+use environment::DelayTarget;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::{Config, FileFailurePersistence, RngSeed, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -28,13 +29,17 @@
 use switches::Switch;
 use world::World;
 
-/// Failing cases, kept to be run again first; relative to the crate.
+/// File, relative to the crate, in which proptest keeps failing cases; they run first the next time.
 const REGRESSIONS: &str = "tests/fuzz/regressions.txt";
+/// Cases per seed of the regular test.
 const CASES: u32 = 300;
-const CASES_OF_A_BATCH: u32 = 200;
-/// A switched-off mechanism must be noticed within as many cases.
-const CASES_TO_FIND: u32 = 1_000;
+/// Cases per seed of the run of a given duration.
+const CASES_PER_BATCH: u32 = 200;
+/// The checker has to detect a disabled mechanism within this many cases.
+const MAX_CASES_TO_DETECT: u32 = 1_000;
+/// Environment variable: seconds that [`for_a_chosen_time`] runs; 60 if unset.
 const LONG_RUN_SECONDS: &str = "DYKETALLY_FUZZ_SECONDS";
+/// Environment variable: first seed of [`for_a_chosen_time`]; random if unset.
 const FIRST_SEED: &str = "DYKETALLY_FUZZ_SEED";
 
 struct System;
@@ -87,7 +92,7 @@
     run(seed, CASES);
 }
 
-/// Runs for as many seconds as the environment says, from a first seed that it may say too.
+/// Runs batches of cases for [`LONG_RUN_SECONDS`], with consecutive seeds from [`FIRST_SEED`] on.
 #[test]
 #[ignore = "runs for a chosen time; use `make fuzz TIME=<seconds>`"]
 fn for_a_chosen_time() {
@@ -96,36 +101,41 @@
     let end = Instant::now() + Duration::from_secs(seconds);
     let mut seed = read(FIRST_SEED).unwrap_or_else(rand::random);
     while Instant::now() < end {
-        run(seed, CASES_OF_A_BATCH);
+        run(seed, CASES_PER_BATCH);
         seed = seed.wrapping_add(1);
     }
 }
 
 type Expected = fn(&Violation) -> bool;
 
-/// Draws cases until the checker notices the expected violation in one.
-fn must_be_noticed<M>(switch: Switch, seed: u64, steps: std::ops::Range<usize>, expected: Expected)
+/// Runs random cases with `switch` until the checker reports a violation that `expected` accepts; panics if none of
+/// [`MAX_CASES_TO_DETECT`] cases has one.
+fn expect_detection<M>(switch: Switch, seed: u64, steps: std::ops::Range<usize>, expected: Expected)
 where
     M: ReferenceStateMachine<State = Plan, Transition = Step>,
 {
-    let mut runner = TestRunner::new(configuration(seed, CASES_TO_FIND));
+    let mut runner = TestRunner::new(configuration(seed, MAX_CASES_TO_DETECT));
     let strategy = M::sequential_strategy(steps);
-    for case in 0..CASES_TO_FIND {
-        let tree = strategy.new_tree(&mut runner).expect("a case can be drawn");
+    for case in 0..MAX_CASES_TO_DETECT {
+        let tree = strategy
+            .new_tree(&mut runner)
+            .expect("the strategy generates a case");
         let (plan, steps, _) = tree.current();
         let violations = catch_unwind(AssertUnwindSafe(|| {
             let mut world = World::new(plan.seed, Some(switch));
             steps.iter().for_each(|step| world.step(step));
             world.finish()
         }));
-        // A panic shows that something is wrong, too, but not that the checker notices.
+        // A case that panics counts as undetected: the checker itself has to report the violation.
         let violations = violations.unwrap_or_default();
-        if let Some(noticed) = violations.iter().find(|violation| expected(violation)) {
-            println!("{switch:?}, seed {seed}, case {case}: {noticed}");
+        if let Some(detected) = violations.iter().find(|violation| expected(violation)) {
+            println!("{switch:?}, seed {seed}, case {case}: {detected}");
             return;
         }
     }
-    panic!("{switch:?}, seed {seed}: nothing noticed in {CASES_TO_FIND} cases");
+    panic!(
+        "{switch:?}, seed {seed}: the checker did not report the expected violation in {MAX_CASES_TO_DETECT} cases"
+    );
 }
 
 macro_rules! shows {
@@ -152,7 +162,7 @@
 #[case(Switch::LostReplyTakenAsRefusal, shows!(Violation::RefusedInForce { .. }))]
 #[case(Switch::LeavingIgnored, shows!(Violation::WorkAfterLeaving { .. }))]
 fn a_missing_mechanism_is_noticed(#[case] switch: Switch, #[case] expected: Expected) {
-    must_be_noticed::<Plan>(switch, 2, 20..60, expected);
+    expect_detection::<Plan>(switch, 2, 20..60, expected);
 }
 
 #[rstest]
@@ -165,17 +175,17 @@
     #[case] switch: Switch,
     #[case] expected: Expected,
 ) {
-    must_be_noticed::<Elections>(switch, 2, 60..140, expected);
+    expect_detection::<Elections>(switch, 2, 60..140, expected);
 }
 
-/// A recorded write that arrives at its primary after it was found absent there. Random cases are
-/// too rarely of this form: the primary is replaced and elected again while the write is held.
+/// Runs a fixed case: a recorded write reaches its primary only after the ledger there was found not to hold it.
+/// Random cases seldom have this form, in which the primary is replaced and elected again while the write is delayed.
 fn late_write_at_a_primary_elected_again(switch: Option<Switch>) -> Vec<Violation> {
-    // Member 1 leads at the start.
+    // Member 1 is the primary when the actions start.
     let mut world = World::new(1, switch);
     let actions = [
         (Action::Write(0, Repeat::Never), 40_000),
-        (Action::HoldBack(1, Held::Change, 200), 0),
+        (Action::DelayDelivery(1, DelayTarget::Change, 200), 0),
         (Action::Write(0, Repeat::Recorded), 8_000),
         (Action::Elect(2), 10_000),
         (Action::Elect(1), 300_000),
--- a/crates/dyketally/tests/fuzz/messages.rs
+++ b/crates/dyketally/tests/fuzz/messages.rs
@@ -1,4 +1,4 @@
-//! What the simulated processes tell each other.
+//! Messages between the simulated processes.
 
 use dyketally::group::{LogPosition, MemberStatus, Term};
 use dyketally::history::{Entry, Key, LookupAnswer, RequestNumber, WriteOutcome};
@@ -16,6 +16,7 @@
     pub number: u64,
 }
 
+/// One statement that an edge requests of a home.
 #[derive(Clone, Debug)]
 pub enum Operation {
     Lookup { key: Key },
@@ -35,21 +36,26 @@
     }
 }
 
+/// A request from an edge to the home of a database.
 #[derive(Clone, Debug)]
 pub struct Execute {
     pub request: u64,
+    /// The database that is to run the operation.
     pub member: usize,
+    /// The caller whose request this is.
     pub client: usize,
     pub session: SessionKey,
     pub transaction: Option<u64>,
-    /// For the history only.
+    /// The transaction's name in the history; not used by homes.
     pub transaction_name: String,
+    /// The caller's request if the operation changes data; only for the history.
     pub write: Option<RequestNumber>,
     pub operation: Operation,
     pub freshness: Freshness,
     pub time_left: std::time::Duration,
 }
 
+/// How a request ended at its home.
 #[derive(Clone, Debug)]
 pub enum Completion {
     Done {
@@ -66,21 +72,23 @@
     RolledBack,
 }
 
+/// A statement that a home sends to a database.
 #[derive(Clone, Debug)]
 pub enum Statement {
     Status,
     Lookup {
         key: Key,
     },
-    /// A recorded write comes with the key of its entry in the ledger.
+    /// A write; a recorded write has the key of its ledger entry.
     Write {
         entries: Vec<Entry>,
         ledger_key: Option<u64>,
     },
-    /// Enters that the write must not run any more, unless the ledger holds its key.
+    /// Adds a ledger entry that bars the write from running, unless the ledger already holds the write's key.
     Bar {
         write: u64,
     },
+    /// Reads the ledger's entry for the write and adds none.
     ReadLedger {
         write: u64,
     },
@@ -97,21 +105,22 @@
     }
 }
 
-/// What the ledger holds under a key.
+/// The ledger's entry for the key of a recorded write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LedgerAnswer {
     Committed,
     Barred,
 }
 
-/// A statement with what the history needs to know of it.
+/// A statement with the names that the history records for it.
 #[derive(Clone, Debug)]
-pub struct Labelled {
+pub struct LabelledStatement {
     pub statement: Statement,
     pub transaction_name: String,
     pub write: Option<RequestNumber>,
 }
 
+/// A database's reply to a statement.
 #[derive(Clone, Debug)]
 pub enum Reply {
     Status(MemberStatus),
@@ -124,15 +133,17 @@
     RolledBack,
 }
 
+/// A message on a connection between two processes.
 #[derive(Clone, Debug)]
 pub enum Payload {
-    /// Asks for a connection that counts against the limit.
+    /// Requests a database connection that counts against the database's connection limit.
     Open,
     Opened,
+    /// The database rejects the connection, because it is leaving or at its connection limit.
     Refused {
         leaving: bool,
     },
-    Run(Box<Labelled>),
+    Run(Box<LabelledStatement>),
     Ran(Reply),
     Execute(Box<Execute>),
     Finished {
@@ -145,12 +156,13 @@
     EndSession {
         session: SessionKey,
     },
-    /// To and from the key-value service.
+    /// A message to or from the key-value service.
     Service(Box<ServiceMessage>),
+    /// The other end has closed the connection.
     Closed,
 }
 
-/// The primary's log as of one moment.
+/// The primary's whole log at the time of sending, for a replica.
 #[derive(Clone, Debug)]
 pub struct Replicate {
     pub term: Term,
@@ -161,15 +173,15 @@
 pub enum ClientAnswer {
     Write(WriteOutcome),
     Lookup(LookupAnswer),
-    /// Nothing was run; connect to another node.
+    /// The node is stopping and ran nothing; the caller should connect to another node.
     GoElsewhere,
 }
 
-/// An edge's answer on a caller's connection.
+/// An edge's answer to a caller's request.
 #[derive(Clone, Debug)]
 pub struct ClientMessage {
     pub client: usize,
-    /// Number of the caller's connection; an answer on an earlier one is never read.
+    /// Number of the caller's connection; the caller ignores answers on its earlier connections.
     pub connection: u64,
     pub request: RequestNumber,
     pub answer: ClientAnswer,
--- a/crates/dyketally/tests/fuzz/node.rs
+++ b/crates/dyketally/tests/fuzz/node.rs
@@ -1,4 +1,4 @@
-//! One node: its edge, its homes and its planned stop.
+//! One node: its edge, its homes, its configuration follower and its planned stop.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,21 +17,28 @@
     idle_caller_wait: Duration::from_millis(100),
     deadline: Duration::from_millis(2_000),
 };
+/// Interval of a node's ticks, in microseconds.
 pub const TICK: u64 = 1_000;
 
+/// What a planned stop waits for before the node exits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Work {
+pub enum InFlight {
+    /// A caller's request at this node's edge.
     Caller(usize),
+    /// A request at one of this node's homes.
     Job(JobId),
-    /// Connections of callers, whether or not they have work.
+    /// Connections of callers, including idle ones.
     Callers,
 }
 
-/// What a node asks of the world.
+/// What a node requests of the simulation during a planned stop.
 pub enum NodeRequest {
     AnnounceLeaving,
     CloseIdleCallers,
-    Exit { cut_off: usize },
+    /// Ends the process while `cut_off` requests are still in flight.
+    Exit {
+        cut_off: usize,
+    },
 }
 
 pub struct Node {
@@ -39,8 +46,8 @@
     pub edge: Edge,
     pub home: Home,
     pub follower: Follower,
-    drain: NodeDrain<Work>,
-    known_work: BTreeSet<Work>,
+    drain: NodeDrain<InFlight>,
+    known_in_flight: BTreeSet<InFlight>,
 }
 
 impl Node {
@@ -51,7 +58,7 @@
             home: Home::new(place),
             follower: Follower::new(place),
             drain: NodeDrain::new(DRAIN),
-            known_work: BTreeSet::new(),
+            known_in_flight: BTreeSet::new(),
         }
     }
 
@@ -100,7 +107,7 @@
                 self.home.end_session(environment, session);
             }
             (Side::Server, Payload::Closed) => self.home.lose_link(environment, connection),
-            (Side::Server, other) => panic!("not for a node: {other:?}"),
+            (Side::Server, other) => panic!("a node doesn't handle {other:?}"),
         }
     }
 
@@ -111,7 +118,7 @@
         if !self.is_leaving() {
             return Vec::new();
         }
-        self.note_work();
+        self.track_in_flight();
         let actions = self.drain.poll(environment.now(self.place));
         actions
             .into_iter()
@@ -119,32 +126,32 @@
                 NodeDrainAction::AnnounceLeaving => Some(NodeRequest::AnnounceLeaving),
                 NodeDrainAction::CloseIdleCallers => Some(NodeRequest::CloseIdleCallers),
                 NodeDrainAction::Exit => Some(NodeRequest::Exit {
-                    cut_off: self.work().len(),
+                    cut_off: self.in_flight().len(),
                 }),
                 NodeDrainAction::TurnCallersAway | NodeDrainAction::Cut { .. } => None,
             })
             .collect()
     }
 
-    /// Requests in flight at this node.
-    pub fn work(&self) -> BTreeSet<Work> {
-        let callers = self.edge.callers_with_work().map(Work::Caller);
-        callers.chain(self.home.jobs().map(Work::Job)).collect()
+    /// Requests in flight at this node's edge and homes.
+    pub fn in_flight(&self) -> BTreeSet<InFlight> {
+        let callers = self.edge.callers_with_requests().map(InFlight::Caller);
+        callers.chain(self.home.jobs().map(InFlight::Job)).collect()
     }
 
-    fn note_work(&mut self) {
-        let work = self.work();
-        for begun in work.difference(&self.known_work) {
+    fn track_in_flight(&mut self) {
+        let in_flight = self.in_flight();
+        for begun in in_flight.difference(&self.known_in_flight) {
             self.drain.begin(*begun);
         }
-        for ended in self.known_work.difference(&work) {
+        for ended in self.known_in_flight.difference(&in_flight) {
             self.drain.end(ended);
         }
-        self.known_work = work;
+        self.known_in_flight = in_flight;
         if self.edge.callers().next().is_some() {
-            self.drain.begin(Work::Callers);
+            self.drain.begin(InFlight::Callers);
         } else {
-            self.drain.end(&Work::Callers);
+            self.drain.end(&InFlight::Callers);
         }
     }
 }
--- a/crates/dyketally/tests/fuzz/status_lines.rs
+++ b/crates/dyketally/tests/fuzz/status_lines.rs
@@ -1,4 +1,4 @@
-//! A home's connections that carry nothing but the status statement, one to each member.
+//! A home's status lines: one connection to each member that carries only the status statement.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,22 +7,24 @@
 use dyketally::time::Timestamp;
 
 use crate::environment::{ConnectionId, Environment, MEMBERS, Place, Side, database_place};
-use crate::messages::{Labelled, Payload, Reply, Statement};
+use crate::messages::{LabelledStatement, Payload, Reply, Statement};
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 const REOPEN_DELAY: Duration = Duration::from_millis(5);
 
-struct Question {
-    asked_at: Timestamp,
+/// A status statement that was sent and not yet answered.
+struct StatusRequest {
+    requested_at: Timestamp,
+    /// The confirmation round that the status is for; none for a regular poll.
     round: Option<RoundNumber>,
 }
 
 #[derive(Default)]
 struct Line {
     connection: Option<ConnectionId>,
-    questions: VecDeque<Question>,
-    last_asked: Timestamp,
+    requests: VecDeque<StatusRequest>,
+    last_requested: Timestamp,
     reopen_at: Timestamp,
 }
 
@@ -35,16 +37,17 @@
 pub struct StatusAnswer {
     pub member: usize,
     pub status: MemberStatus,
-    pub asked_at: Timestamp,
+    pub requested_at: Timestamp,
     pub round: Option<RoundNumber>,
 }
 
+/// A status line that was closed, and the confirmation rounds whose status statements were unanswered on it.
 pub struct LostLine {
     pub member: usize,
     pub rounds: Vec<RoundNumber>,
 }
 
-pub enum Answer {
+pub enum LineEvent {
     Status(StatusAnswer),
     Lost(LostLine),
 }
@@ -58,7 +61,7 @@
         self.lines.iter().any(|line| line.connection == Some(id))
     }
 
-    /// Opens, polls and gives up lines.
+    /// Opens lines that are due, polls members, and closes lines on which a reply is overdue; returns the closed ones.
     pub fn tick(&mut self, environment: &mut Environment, place: Place) -> Vec<LostLine> {
         let now = environment.now(place);
         let mut lost = Vec::new();
@@ -69,16 +72,16 @@
                     let connection = environment.connect(place, database_place(member));
                     line.connection = Some(connection);
                     self.new_connections.push(connection);
-                    self.ask(environment, now, member, None);
+                    self.request_status(environment, now, member, None);
                 }
                 None => {}
                 Some(connection) => {
-                    let oldest = line.questions.front().map(|question| question.asked_at);
-                    if oldest.is_some_and(|asked_at| asked_at + ANSWER_TIMEOUT <= now) {
+                    let oldest = line.requests.front().map(|request| request.requested_at);
+                    if oldest.is_some_and(|requested_at| requested_at + ANSWER_TIMEOUT <= now) {
                         environment.close(connection, Side::Client);
                         lost.push(self.lose(now, member));
-                    } else if line.last_asked + POLL_INTERVAL <= now {
-                        self.ask(environment, now, member, None);
+                    } else if line.last_requested + POLL_INTERVAL <= now {
+                        self.request_status(environment, now, member, None);
                     }
                 }
             }
@@ -86,8 +89,8 @@
         lost
     }
 
-    /// Asks `member` for its status; false when there is no line to it.
-    pub fn ask(
+    /// Sends `member` the status statement; returns false if no line to it is open.
+    pub fn request_status(
         &mut self,
         environment: &mut Environment,
         now: Timestamp,
@@ -98,10 +101,13 @@
         let Some(connection) = line.connection else {
             return false;
         };
-        let asked_at = now;
-        line.questions.push_back(Question { asked_at, round });
-        line.last_asked = now;
-        let labelled = Labelled {
+        let requested_at = now;
+        line.requests.push_back(StatusRequest {
+            requested_at,
+            round,
+        });
+        line.last_requested = now;
+        let labelled = LabelledStatement {
             statement: Statement::Status,
             transaction_name: String::new(),
             write: None,
@@ -115,22 +121,22 @@
         now: Timestamp,
         id: ConnectionId,
         payload: &Payload,
-    ) -> Option<Answer> {
+    ) -> Option<LineEvent> {
         let member = self
             .lines
             .iter()
             .position(|line| line.connection == Some(id))?;
         match payload {
             Payload::Ran(Reply::Status(status)) => {
-                let question = self.lines[member].questions.pop_front()?;
-                Some(Answer::Status(StatusAnswer {
+                let request = self.lines[member].requests.pop_front()?;
+                Some(LineEvent::Status(StatusAnswer {
                     member,
                     status: *status,
-                    asked_at: question.asked_at,
-                    round: question.round,
+                    requested_at: request.requested_at,
+                    round: request.round,
                 }))
             }
-            Payload::Closed => Some(Answer::Lost(self.lose(now, member))),
+            Payload::Closed => Some(LineEvent::Lost(self.lose(now, member))),
             _ => None,
         }
     }
@@ -145,8 +151,8 @@
         let line = &mut self.lines[member];
         line.connection = None;
         line.reopen_at = now + REOPEN_DELAY;
-        let questions = line.questions.drain(..);
-        let rounds = questions.filter_map(|question| question.round).collect();
+        let requests = line.requests.drain(..);
+        let rounds = requests.filter_map(|request| request.round).collect();
         LostLine { member, rounds }
     }
 }
--- a/crates/dyketally/tests/fuzz/world/actions.rs
+++ b/crates/dyketally/tests/fuzz/world/actions.rs
@@ -1,4 +1,4 @@
-//! Actions of a case.
+//! Applies the actions of a case to the simulated system.
 
 use super::*;
 
@@ -7,24 +7,24 @@
         match *action {
             Action::Write(caller, repeat) => {
                 let entries = Caller::new_entries(&mut self.environment, 1);
-                self.call(caller, Wish::Write { entries, repeat });
+                self.call(caller, CallKind::Write { entries, repeat });
             }
             Action::Transaction(caller, statements) => {
                 let entries = Caller::new_entries(&mut self.environment, statements);
-                self.call(caller, Wish::Transaction { entries });
+                self.call(caller, CallKind::Transaction { entries });
             }
-            Action::Again(caller) => self.send_again(caller),
+            Action::ResendNotRun(caller) => self.resend_not_run(caller),
             Action::Lookup(caller, target) => self.look_up(caller, target),
-            Action::Roam(movement) => self.carry(movement),
+            Action::Roam(movement) => self.move_caller(movement),
             Action::RoamAndLookUp(movement) => {
-                self.carry(movement);
+                self.move_caller(movement);
                 self.look_up(movement.caller, LookupTarget::OwnNewest);
             }
             Action::Kill(place) => self.kill(place),
             Action::Freeze(place, millis) => {
                 self.environment.freeze(place);
                 self.environment
-                    .after(millis * 1_000, Happening::Thaw { place });
+                    .after(millis * 1_000, ScheduledEvent::Thaw { place });
             }
             Action::Cut(from, to) => self.environment.cut(from, to),
             Action::Isolate(place) => self.isolate(place, 0..PLACES),
@@ -45,13 +45,14 @@
                 self.environment.jump_clock(node, by);
             }
             Action::Lag(member, millis) => self.databases[member].lag = millis * 1_000,
-            Action::HoldBack(member, held, millis) => {
+            Action::DelayDelivery(member, target, millis) => {
                 let place = database_place(member);
-                self.environment.hold_back(place, held, millis * 1_000);
+                self.environment
+                    .delay_delivery(place, target, millis * 1_000);
             }
             Action::Elect(member) => self.elect(member),
-            Action::Believe { edge, member, home } => {
-                self.nodes[edge].edge.believed_home[member] = Some(home);
+            Action::OverrideHome { edge, member, home } => {
+                self.nodes[edge].edge.home_override[member] = Some(home);
             }
             Action::StopNode(node) => self.stop_node(node),
             Action::LeaveDatabase(member) => self.leave_database(member),
@@ -71,16 +72,16 @@
         }
     }
 
-    fn send_again(&mut self, caller: usize) {
+    fn resend_not_run(&mut self, caller: usize) {
         if self.callers[caller].is_busy() {
             return;
         }
-        if let Some(wish) = self.callers[caller].take_again() {
-            self.call(caller, wish);
+        if let Some(kind) = self.callers[caller].take_not_run_write() {
+            self.call(caller, kind);
         }
     }
 
-    fn carry(&mut self, movement: Move) {
+    fn move_caller(&mut self, movement: Move) {
         self.roam(movement.caller, movement.node);
         if !movement.keep_token {
             self.callers[movement.caller].forget_token();
@@ -92,16 +93,16 @@
             LookupTarget::OwnNewest | LookupTarget::OwnAny => caller,
             LookupTarget::Other => (caller + 1) % CALLERS,
         };
-        let own = &self.callers[of].own;
-        if own.is_empty() {
+        let keys = &self.callers[of].acknowledged_keys;
+        if keys.is_empty() {
             return;
         }
         let index = match target {
-            LookupTarget::OwnNewest => own.len() - 1,
-            _ => self.environment.random.random_range(0..own.len()),
+            LookupTarget::OwnNewest => keys.len() - 1,
+            _ => self.environment.random.random_range(0..keys.len()),
         };
-        let key = own[index].clone();
-        self.call(caller, Wish::Lookup { key });
+        let key = keys[index].clone();
+        self.call(caller, CallKind::Lookup { key });
     }
 
     fn stop_node(&mut self, node: usize) {
@@ -109,14 +110,14 @@
             return;
         }
         if self.environment.has(Switch::StopWithoutDrain) {
-            let cut_off = self.nodes[node].work().len();
+            let cut_off = self.nodes[node].in_flight().len();
             return self.exit(node, cut_off);
         }
         self.nodes[node].stop(&self.environment);
     }
 
     fn leave_database(&mut self, member: usize) {
-        // The others must still make a majority.
+        // Only one member leaves in a case, so that the other two are still a majority.
         if self.databases.iter().any(|database| database.leaving) {
             return;
         }
@@ -127,7 +128,7 @@
         for place in 0..NODES {
             let lag = self.environment.random.random_range(0..LONGEST_NOTICE_LAG);
             self.environment
-                .after(lag, Happening::LeavingNotice { place, member });
+                .after(lag, ScheduledEvent::LeavingNotice { place, member });
         }
     }
 }
--- a/crates/dyketally/tests/fuzz/world/finish.rs
+++ b/crates/dyketally/tests/fuzz/world/finish.rs
@@ -1,9 +1,10 @@
-//! The end of a case: healing, last lookups, the final state.
+//! The end of a case: ends all faults, lets callers look up their writes, and records the final state.
 
 use super::*;
 
 impl World {
-    /// Ends all faults, lets every caller look up what it wrote, and judges the history.
+    /// Ends all faults, lets every caller look up its acknowledged writes, and returns the violations that the checker
+    /// finds in the history.
     pub fn finish(mut self) -> Vec<Violation> {
         self.heal();
         self.look_up_everything();
@@ -24,27 +25,27 @@
             self.databases[member].lag = 0;
         }
         for node in &mut self.nodes {
-            node.edge.believed_home = [None; MEMBERS];
+            node.edge.home_override = [None; MEMBERS];
         }
-        self.run_for(HEALING);
-        // A planned stop that has begun ends, and the node's successor catches up.
-        while !self.is_whole() {
-            self.run_for(SETTLING / 10);
+        self.run_for(HEALING_TIME);
+        // Waits until planned stops in progress are complete and all killed processes have restarted.
+        while !self.all_processes_running() {
+            self.run_for(SETTLING_TIME / 10);
         }
-        self.run_for(SETTLING);
+        self.run_for(SETTLING_TIME);
     }
 
-    fn is_whole(&self) -> bool {
+    fn all_processes_running(&self) -> bool {
         let stays = |node: &Node| !node.is_leaving();
         self.environment.alive.iter().all(|alive| *alive) && self.nodes.iter().all(stays)
     }
 
-    /// Each caller with its token, then without.
+    /// Looks up each caller's acknowledged writes at the next node with its token, then at the node after that without.
     fn look_up_everything(&mut self) {
         for number in 0..CALLERS {
             for keep_token in [true, false] {
                 self.roam(number, (self.callers[number].node + 1) % NODES);
-                for key in self.callers[number].own.clone() {
+                for key in self.callers[number].acknowledged_keys.clone() {
                     if !keep_token {
                         self.callers[number].forget_token();
                     }
@@ -57,7 +58,7 @@
     fn look_up_until_answered(&mut self, number: usize, key: dyketally::history::Key) {
         for _ in 0..5 {
             let failed = self.callers[number].failed_lookups;
-            self.call(number, Wish::Lookup { key: key.clone() });
+            self.call(number, CallKind::Lookup { key: key.clone() });
             while self.callers[number].is_busy() {
                 self.run_for(1_000);
             }
@@ -65,7 +66,7 @@
                 return;
             }
         }
-        panic!("{key} of caller {number} can't be looked up after all faults have healed");
+        panic!("5 lookups of {key} by caller {number} failed after the end of all faults");
     }
 
     fn record_final_configurations(&mut self) {
@@ -82,7 +83,7 @@
         let primaries = self.databases.iter();
         let primaries = primaries.filter(|database| database.role == Role::Primary);
         let primary = primaries.max_by_key(|database| database.term);
-        let primary = primary.expect("the group has a primary after all faults have healed");
+        let primary = primary.expect("the group has a primary after the end of all faults");
         let entries = primary.log.iter().flat_map(|logged| logged.entries.clone());
         for entry in entries.collect::<Vec<_>>() {
             self.environment.record(Event::FinalEntry {
--- a/crates/dyketally/tests/fuzz/world/mod.rs
+++ b/crates/dyketally/tests/fuzz/world/mod.rs
@@ -1,4 +1,5 @@
-//! The simulated system: runs what is due and carries out actions.
+//! The simulated system: processes events when they are due and applies the actions of a case. Plain integers that
+//! hold times are in microseconds.
 
 mod actions;
 mod finish;
@@ -14,23 +15,28 @@
 use crate::callers::{CALLERS, Caller};
 use crate::configuration::{Operator, Service};
 use crate::database::{self, Database, member_name};
-use crate::edge::{Call, Wish};
+use crate::edge::{Call, CallKind};
 use crate::environment::{
-    Arrived, Environment, Happening, MEMBERS, NODES, OPERATORS, PLACES, Place, Process, SERVICE,
-    database_place, operator_place,
+    Arrived, Environment, MEMBERS, NODES, OPERATORS, PLACES, Place, Process, SERVICE,
+    ScheduledEvent, database_place, operator_place,
 };
 use crate::messages::ClientMessage;
 use crate::node::{self, Node, NodeRequest};
 use crate::switches::Switch;
 
+/// Time from the end of a process to its restart.
 const RESTART_DELAY: u64 = 60_000;
-/// A frozen process reads what is due so much later, or later still.
-const POSTPONED: u64 = 1_000;
+/// An event for a frozen process is postponed by this time, repeatedly until the process runs again.
+const FROZEN_RETRY_DELAY: u64 = 1_000;
 const CALLERS_TICK: u64 = 10_000;
+/// Upper bound of the time until a node receives the notice that a database is leaving.
 const LONGEST_NOTICE_LAG: u64 = 300_000;
+/// Time after the start of a database's leaving during which it may still run statements.
 const LEAVING_GRACE: Duration = Duration::from_millis(1_500);
-const HEALING: u64 = 1_000_000;
-const SETTLING: u64 = 300_000;
+/// Time that the system runs after all faults have ended, before the case waits for complete restarts.
+const HEALING_TIME: u64 = 1_000_000;
+/// Time that the system runs once all processes are running, before the final lookups.
+const SETTLING_TIME: u64 = 300_000;
 
 pub struct World {
     environment: Environment,
@@ -47,13 +53,13 @@
         for place in 0..PLACES {
             environment.after(
                 place as u64 * 100,
-                Happening::Tick {
+                ScheduledEvent::Tick {
                     place,
                     incarnation: 0,
                 },
             );
         }
-        environment.after(CALLERS_TICK, Happening::ClientsTick);
+        environment.after(CALLERS_TICK, ScheduledEvent::ClientsTick);
         let mut world = World {
             environment,
             nodes: (0..NODES).map(Node::new).collect(),
@@ -71,46 +77,46 @@
 
     pub fn run_for(&mut self, micros: u64) {
         let until = self.environment.world_time() + Duration::from_micros(micros);
-        while let Some(happening) = self.environment.next(until) {
-            self.happen(happening);
+        while let Some(event) = self.environment.next(until) {
+            self.dispatch(event);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        if let Some(place) = happening.reader()
+    fn dispatch(&mut self, event: ScheduledEvent) {
+        if let Some(place) = event.receiver()
             && self.environment.is_frozen(place)
         {
-            return self.environment.after(POSTPONED, happening);
+            return self.environment.after(FROZEN_RETRY_DELAY, event);
         }
-        match happening {
-            Happening::Arrival { connection, to } => {
+        match event {
+            ScheduledEvent::Arrival { connection, to } => {
                 if let Some(arrived) = self.environment.arrive(connection, to) {
                     self.arrived(arrived);
                 }
             }
-            Happening::Tick { place, incarnation } => self.tick(place, incarnation),
-            Happening::Replicate { from, to, message } => {
+            ScheduledEvent::Tick { place, incarnation } => self.tick(place, incarnation),
+            ScheduledEvent::Replicate { from, to, message } => {
                 if self.environment.alive[to] && self.environment.reaches(from, to) {
                     let now = self.environment.world_time();
                     self.databases[to - NODES].follow(*message, now);
                 }
             }
-            Happening::Datagram { from, to, message } => {
+            ScheduledEvent::Datagram { from, to, message } => {
                 if self.environment.alive[to] && self.environment.reaches(from, to) {
                     let follower = &mut self.nodes[to].follower;
-                    follower.take(&mut self.environment, from, *message);
+                    follower.handle_datagram(&mut self.environment, from, *message);
                 }
             }
-            Happening::ToClient(message) => self.deliver_answer(message),
-            Happening::Restart { place } => self.restart(place),
-            Happening::Thaw { place } => self.environment.thaw(place),
-            Happening::LeavingNotice { place, member } => {
+            ScheduledEvent::ToClient(message) => self.deliver_answer(message),
+            ScheduledEvent::Restart { place } => self.restart(place),
+            ScheduledEvent::Thaw { place } => self.environment.thaw(place),
+            ScheduledEvent::LeavingNotice { place, member } => {
                 if self.environment.alive[place] {
                     let home = &mut self.nodes[place].home;
                     home.database_leaves(&mut self.environment, member);
                 }
             }
-            Happening::ClientsTick => self.tick_callers(),
+            ScheduledEvent::ClientsTick => self.tick_callers(),
         }
     }
 
@@ -138,8 +144,8 @@
             Process::Node => node::TICK,
             _ => database::TICK,
         };
-        let again = Happening::Tick { place, incarnation };
-        self.environment.after(interval, again);
+        let next_tick = ScheduledEvent::Tick { place, incarnation };
+        self.environment.after(interval, next_tick);
         if self.environment.is_frozen(place) {
             return;
         }
@@ -168,7 +174,7 @@
         self.databases[member].replicate(&mut self.environment, lags);
     }
 
-    /// An election in one step: votes count only if asked and told over links that work.
+    /// Holds an election in one step. A vote counts only if the links in both directions work and the voter is running.
     fn elect(&mut self, candidate: usize) {
         let from = database_place(candidate);
         if !self.environment.is_running(from) || self.databases[candidate].role == Role::Primary {
@@ -205,14 +211,14 @@
         match request {
             NodeRequest::AnnounceLeaving => {
                 let others = (0..NODES).filter(|other| *other != place);
-                let mut all = true;
+                let mut all_informed = true;
                 for other in others {
-                    let told = self.environment.reaches(place, other)
+                    let informed = self.environment.reaches(place, other)
                         && self.environment.is_running(other);
-                    self.nodes[other].edge.leaving[place] |= told;
-                    all &= told;
+                    self.nodes[other].edge.leaving[place] |= informed;
+                    all_informed &= informed;
                 }
-                if all {
+                if all_informed {
                     self.nodes[place].peers_informed();
                 }
             }
@@ -242,7 +248,7 @@
         }
         self.environment.kill(place);
         self.environment
-            .after(RESTART_DELAY, Happening::Restart { place });
+            .after(RESTART_DELAY, ScheduledEvent::Restart { place });
         for number in 0..CALLERS {
             if place < NODES && self.callers[number].node == place {
                 self.roam(number, (place + 1) % NODES);
@@ -271,12 +277,12 @@
             Process::Operator(operator) => self.operators[operator] = Operator::new(place),
         }
         self.environment
-            .after(500, Happening::Tick { place, incarnation });
+            .after(500, ScheduledEvent::Tick { place, incarnation });
     }
 
     fn deliver_answer(&mut self, message: ClientMessage) {
         let number = message.client;
-        let elsewhere = self.callers[number].take(&mut self.environment, message);
+        let elsewhere = self.callers[number].handle_answer(&mut self.environment, message);
         if elsewhere {
             let node = self.callers[number].node;
             self.roam(number, (node + 1) % NODES);
@@ -284,10 +290,11 @@
     }
 
     fn tick_callers(&mut self) {
-        self.environment.after(CALLERS_TICK, Happening::ClientsTick);
+        self.environment
+            .after(CALLERS_TICK, ScheduledEvent::ClientsTick);
         let now = self.environment.world_time();
         for number in 0..CALLERS {
-            if self.callers[number].lost_patience(now) {
+            if self.callers[number].is_overdue(now) {
                 let node = self.callers[number].node;
                 self.roam(number, (node + 1) % NODES);
             }
@@ -298,14 +305,14 @@
         let from = self.callers[number].node;
         self.callers[number].hang_up(&mut self.environment);
         self.callers[number].node = to;
-        // A frozen edge notices later, with the caller's next connection, or not at all.
+        // A frozen edge detects the closed connection only at the caller's next connection, if ever.
         if self.environment.is_running(from) {
             let edge = &mut self.nodes[from].edge;
             edge.hang_up(&mut self.environment, number);
         }
     }
 
-    fn call(&mut self, number: usize, wish: Wish) {
+    fn call(&mut self, number: usize, kind: CallKind) {
         if self.callers[number].is_busy() {
             return;
         }
@@ -318,8 +325,8 @@
         if node != first {
             self.roam(number, node);
         }
-        let call: Call = self.callers[number].begin(&mut self.environment, wish);
-        // A frozen node reads the call when it runs again; the caller may be gone by then.
+        let call: Call = self.callers[number].begin(&mut self.environment, kind);
+        // A call to a frozen node is lost; the caller closes the connection when the request times out.
         if self.environment.is_running(node) {
             self.nodes[node].call(&mut self.environment, call);
         }
