--- a/crates/dyketally-http/tests/body.rs
+++ b/crates/dyketally-http/tests/body.rs
@@ -1,7 +1,7 @@
-//! Bodies that arrive in various ways.
+//! Reading of response bodies that arrive at various rates.
 //!
-//! An answer of 986,615 bytes was given up after 0.8 s with 704,437 of them, again and again, since the
-//! time that a call may take counted its transfer. So bodies may take as long as they make progress.
+//! A response of 986,615 bytes was repeatedly aborted after 0.8 s with 704,437 bytes received, since the time limit of
+//! the call included the transfer of the body. A body may therefore take any time as long as it makes progress.
 
 use std::time::Duration;
 
@@ -13,14 +13,17 @@
 /// How a server sends a body.
 #[derive(Clone, Copy)]
 struct Sending {
+    /// Number of pieces.
     pieces: usize,
+    /// Length of a piece in bytes.
     piece: usize,
+    /// Time before each piece.
     pause: Duration,
-    /// Bytes that the head promises beyond those that are sent before the server falls silent.
+    /// Bytes by which `Content-Length` exceeds the pieces' total; if not 0, the server stalls after the last piece.
     missing: usize,
 }
 
-/// Starts a server that answers one request, and returns its address.
+/// Starts a server that answers one request with the body that `sending` describes, and returns its address.
 async fn serve(sending: Sending) -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -33,7 +36,7 @@
         stream.write_all(head.as_bytes()).await.expect("a head");
         for _ in 0..sending.pieces {
             tokio::time::sleep(sending.pause).await;
-            // A reader that gave up has closed the connection.
+            // Writing fails once the reader has aborted the body and closed the connection.
             if stream.write_all(&vec![b'a'; sending.piece]).await.is_err() {
                 return;
             }
@@ -60,7 +63,7 @@
 
 #[tokio::test]
 async fn a_body_may_take_as_long_as_it_makes_progress() {
-    // Two thirds more than the silence that ends a body, at twice the slowest rate.
+    // The transfer takes 5/3 of the silence limit, at twice the slowest rate, with pauses of 1/15 of the silence limit.
     let sending = Sending {
         pieces: 25,
         piece: SLOWEST_RATE as usize / 5,
@@ -89,7 +92,7 @@
     assert_eq!(progress.arrived, pieces * sending.piece);
 }
 
-/// A byte now and then would keep the reader for ever.
+/// Without a lowest rate, a server that sends a few bytes at a time could keep the reader indefinitely.
 #[tokio::test]
 async fn a_body_that_trickles_is_given_up() {
     let sending = Sending {
@@ -115,7 +118,7 @@
     assert!(text.contains("200 of 250 bytes had arrived"), "{text}");
 }
 
-/// It isn't transferred: the head tells its length.
+/// The body's length is known from `Content-Length`, so that the reader rejects it without waiting for the transfer.
 #[tokio::test]
 async fn a_body_that_is_too_long_is_given_up_at_its_head() {
     let sending = Sending {
--- a/crates/dyketally-protocol/tests/wire/edge.rs
+++ b/crates/dyketally-protocol/tests/wire/edge.rs
@@ -1,4 +1,4 @@
-//! One of each message from an edge to a home.
+//! Samples of every message from an edge to a home.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     StatementBatch, StatementName, Step,
 };
 
-/// The messages by label.
+/// The sample messages with their labels in `messages.txt`.
 pub fn messages() -> Vec<(String, EdgeMessage)> {
     let request = RequestId(300);
     let named = [
@@ -62,7 +62,7 @@
     EdgeMessage::PullConfiguration(PullRequest { have, part })
 }
 
-/// A part of a snapshot behind a document of this kind.
+/// The part of a snapshot that follows the document `shops` of this kind, or the first part.
 pub fn part(kind: Option<DocumentKind>) -> PartOfSnapshot {
     PartOfSnapshot {
         revision: Revision(130),
@@ -89,7 +89,7 @@
     }
 }
 
-/// A batch with each kind of step.
+/// A batch with one step of each kind.
 fn batch() -> StatementBatch {
     let name = StatementName("s1".to_owned());
     let portal = "p".to_owned();
@@ -119,7 +119,7 @@
     }
 }
 
-/// Requests that differ from a write outside a batch in one field each.
+/// A write with an empty batch, and requests that differ from it in one field each.
 fn executes() -> Vec<(String, EdgeMessage)> {
     let request = || execute(StatementBatch::default());
     let position = LogPosition {
--- a/crates/dyketally-protocol/tests/wire/home.rs
+++ b/crates/dyketally-protocol/tests/wire/home.rs
@@ -1,4 +1,4 @@
-//! One of each message from a home to an edge.
+//! Samples of every message from a home to an edge.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 const REQUEST: RequestId = RequestId(300);
 
-/// The messages by label.
+/// The sample messages with their labels in `messages.txt`.
 pub fn messages() -> Vec<(String, HomeMessage)> {
     let named = [
         ("Hello".to_owned(), hello()),
--- a/crates/dyketally-protocol/tests/wire/main.rs
+++ b/crates/dyketally-protocol/tests/wire/main.rs
@@ -1,8 +1,8 @@
-//! The bytes of each message between edges and homes, pinned: nodes of two builds run beside each
-//! other while one replaces the other, so a renamed type may change none of them.
+//! Compares the encoding of each message between edges and homes with pinned bytes. During an upgrade, nodes of two
+//! builds exchange messages, so that renaming a type or a field must not change the encoding.
 //!
-//! `messages.txt` holds one message a line: its label, then its bytes in hex. A line that changes
-//! is a change of the protocol and needs a new `PROTOCOL_VERSION`.
+//! `messages.txt` holds one message per line: its label, then its bytes in hex. A changed line is a change of the
+//! protocol and requires a new `PROTOCOL_VERSION`.
 
 mod edge;
 mod home;
@@ -29,8 +29,11 @@
         )
         .collect();
     let file = concat!(env!("CARGO_TARGET_TMPDIR"), "/messages.txt");
-    std::fs::write(file, &written).expect("written for a look at the difference");
-    assert_eq!(written, PINNED, "the bytes as they are now are in {file}");
+    std::fs::write(file, &written).expect("the current bytes are written to a file for comparison");
+    assert_eq!(
+        written, PINNED,
+        "encoded messages differ from messages.txt; {file} holds the current bytes"
+    );
 }
 
 #[test]
@@ -49,7 +52,7 @@
     codec.encode(message.clone(), &mut frame).expect("encodes");
     let mut line = format!("{label}:");
     for byte in frame {
-        write!(line, " {byte:02x}").expect("a string takes all");
+        write!(line, " {byte:02x}").expect("writing to a string succeeds");
     }
     line.push('\n');
     line
@@ -60,7 +63,7 @@
         .lines()
         .find_map(|line| line.strip_prefix(label)?.strip_prefix(": "));
     let bytes = hex
-        .unwrap_or_else(|| panic!("{label} is pinned"))
+        .unwrap_or_else(|| panic!("messages.txt has no line for {label}"))
         .split(' ');
     bytes
         .map(|byte| u8::from_str_radix(byte, 16).expect("hex"))
@@ -69,7 +72,10 @@
 
 fn decode<Message: Serialize + DeserializeOwned>(mut frame: BytesMut) -> Message {
     let mut codec = LinkCodec::<Message, Message>::default();
-    let message = codec.decode(&mut frame).expect("decodes").expect("whole");
-    assert!(frame.is_empty(), "bytes are left over");
+    let message = codec
+        .decode(&mut frame)
+        .expect("decodes")
+        .expect("a whole frame");
+    assert!(frame.is_empty(), "bytes are left after the message");
     message
 }
--- a/crates/dyketally-proxy/tests/admin.rs
+++ b/crates/dyketally-proxy/tests/admin.rs
@@ -1,4 +1,4 @@
-//! What the admin address answers.
+//! Responses of the admin endpoint: health, readiness, status and metrics.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,6 +23,7 @@
     label: &'static str,
 }
 
+/// A source that always reports this readiness and [`fixed_status`].
 struct FixedSource(Readiness);
 
 #[async_trait]
@@ -92,7 +93,7 @@
     }
 }
 
-/// A server that stops when the guard is dropped.
+/// Starts an admin server that stops when the returned guard is dropped.
 async fn start(readiness: Readiness) -> (SocketAddr, DropGuard) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
     let address = listener.local_addr().expect("address");
--- a/crates/dyketally-proxy/tests/examples.rs
+++ b/crates/dyketally-proxy/tests/examples.rs
@@ -1,4 +1,4 @@
-//! Every file under `examples/` is accepted.
+//! Checks that every file under `examples/` is valid.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples")
 }
 
-/// Files and directories right under `directory`, sorted.
+/// Paths of the files and directories directly in `directory`, sorted.
 fn entries(directory: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(directory).expect("directory");
     let path = |entry: std::io::Result<fs::DirEntry>| entry.expect("entry").path();
@@ -54,14 +54,14 @@
     assert_eq!(policy.tenants.len(), documents.tenants.len());
 }
 
-/// The lab reads its own examples in its tests; a file that they don't know is refused here.
+/// Fails on a file in `examples/lab` that the lab's own tests don't read.
 fn assert_checked_by_the_lab(directory: &Path) {
     for path in entries(directory) {
         assert!(path.ends_with("database.toml"), "{path:?} is not checked");
     }
 }
 
-/// Fields that the example shows commented out exist, and together they are accepted too.
+/// All fields that the example shows commented out exist, and the example is valid with all of them set.
 #[test]
 fn commented_fields_of_the_example_exist() {
     let text = fs::read_to_string(examples().join("dyketallyd.toml")).expect("example");
--- a/crates/dyketally-proxy/tests/home_plan.rs
+++ b/crates/dyketally-proxy/tests/home_plan.rs
@@ -1,4 +1,4 @@
-//! The reply plan: each backend message is matched to the step that it answers.
+//! The reply plan, which matches each message from the database to the step that it answers.
 
 use bytes::{Bytes, BytesMut};
 use dyketally_protocol::{
@@ -21,7 +21,7 @@
     }
 }
 
-/// `Bind` without parameters: portal, statement, and three empty lists.
+/// An encoded `Bind` without parameters: empty portal name, statement name, and three empty lists.
 fn bind(text: &str) -> Step {
     let mut body = vec![0];
     body.extend_from_slice(text.as_bytes());
@@ -68,7 +68,7 @@
     cache
 }
 
-/// Tags of frontend messages, in order.
+/// Tags of the encoded messages to the database, in order.
 fn sent_tags(mut encoded: Bytes) -> String {
     let mut tags = String::new();
     while !encoded.is_empty() {
@@ -79,13 +79,14 @@
     tags
 }
 
-/// Feeds backend messages by tag; returns the tags that the caller sees, `-` for a refused copy
-/// and `.` for the end. `Z` reports idle.
-fn passed_on(plan: &mut ReplyPlan, received: &str) -> Result<String, char> {
+/// Passes messages from the database, given by their tags, to the plan. Returns the tags that the caller receives, with
+/// `-` for a rejected copy and `.` for the end of the batch, or the tag that the plan rejects. `Z` reports an idle
+/// transaction.
+fn forwarded_tags(plan: &mut ReplyPlan, received: &str) -> Result<String, char> {
     let mut seen = String::new();
     for tag in received.bytes() {
-        while let Some(made_up) = plan.made_up() {
-            seen.push(char::from(made_up[0]));
+        while let Some(synthesized) = plan.made_up() {
+            seen.push(char::from(synthesized[0]));
         }
         let disposition = plan.accept(tag, Some(b'I')).map_err(|error| error.tag)?;
         match disposition {
@@ -170,7 +171,7 @@
     let mut cache = cache(known);
     let mut plan = encode_batch(&batch(prepared, steps), &mut cache, &mut output).unwrap();
     assert_eq!(sent_tags(output.freeze()), sent);
-    assert_eq!(passed_on(&mut plan, received), Ok(seen.to_owned()));
+    assert_eq!(forwarded_tags(&mut plan, received), Ok(seen.to_owned()));
 }
 
 #[rstest]
@@ -184,7 +185,7 @@
     let mut output = BytesMut::new();
     let steps = vec![bind("a"), execute(), Step::Sync];
     let mut plan = encode_batch(&batch(&["a"], steps), &mut cache(&[]), &mut output).unwrap();
-    assert_eq!(passed_on(&mut plan, received), Err(refused));
+    assert_eq!(forwarded_tags(&mut plan, received), Err(refused));
 }
 
 #[rstest]
@@ -200,7 +201,8 @@
     assert_eq!(ended, Ok(Disposition::Ended(status)));
 }
 
-fn smuggled() -> Step {
+/// A `Bind` step whose encoded bytes also hold a simple query.
+fn bind_with_hidden_query() -> Step {
     let Step::Bind { statement, encoded } = bind("a") else {
         unreachable!("bind makes a Bind");
     };
@@ -215,7 +217,7 @@
 #[case::two_ends(vec![bind("a"), execute(), Step::Sync, Step::Sync])]
 #[case::query_behind_others(vec![bind("a"), Step::Query("x".into())])]
 #[case::query_before_others(vec![Step::Query("x".into()), Step::Sync])]
-#[case::message_behind_a_bind(vec![smuggled(), execute(), Step::Sync])]
+#[case::message_behind_a_bind(vec![bind_with_hidden_query(), execute(), Step::Sync])]
 #[case::zero_byte(vec![Step::Query("a\0b".into())])]
 fn refuses_a_batch_whole(#[case] steps: Vec<Step>) {
     let mut cache = cache(&["a"]);
--- a/crates/dyketally-proxy/tests/homes.rs
+++ b/crates/dyketally-proxy/tests/homes.rs
@@ -1,4 +1,4 @@
-//! A home that can't be reached is passed over before membership knows of its death.
+//! Choice of a database's home: a home that can't be reached is excluded before membership reports its node dead.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// The home is at `first`; this node would follow it.
+/// Places every database's home at `first`, and ranks this node second.
 #[derive(Debug)]
 struct FirstThenHere {
     first: SocketAddr,
@@ -40,7 +40,7 @@
     }
 }
 
-/// An address of this machine where nothing listens.
+/// A loopback address that no socket listens on.
 fn closed_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     listener.local_addr().expect("address")
--- a/crates/dyketally-proxy/tests/logging.rs
+++ b/crates/dyketally-proxy/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Layouts and levels of logs.
+//! Layouts, level filters and errors of the log configuration.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,9 @@
 use log::{Level, LevelFilter, Log, Record};
 use rstest::rstest;
 
+/// A target of this program, to which the configured level applies.
 const OWN_TARGET: &str = "dyketally_proxy::home";
+/// A target of a dependency, of which only warnings and errors are logged.
 const OTHER_TARGET: &str = "hyper::client";
 
 fn settings(layout: LogLayout, level: LevelFilter, file: PathBuf) -> LoggingSettings {
@@ -25,7 +27,7 @@
     file
 }
 
-/// Logs one line through the settings and returns what the file holds then.
+/// Logs one record as `settings` configure it and returns the content of the log file.
 fn logged(settings: &LoggingSettings, target: &str, level: Level) -> String {
     let config = configure(settings).expect("configuration");
     let logger = log4rs::Logger::new(config);
@@ -87,7 +89,7 @@
 fn a_file_that_cannot_be_opened_is_told_with_its_remedy() {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let settings = settings(LogLayout::Human, LevelFilter::Info, directory);
-    let error = configure(&settings).expect_err("a directory is no file");
+    let error = configure(&settings).expect_err("a directory cannot be opened as a log file");
     assert!(matches!(error, LoggingError::File { .. }));
     assert!(error.to_string().contains("set logging.file"), "{error}");
 }
--- a/crates/dyketally-proxy/tests/peers.rs
+++ b/crates/dyketally-proxy/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Membership on real sockets.
+//! Membership of a fleet of nodes over UDP sockets on the loopback interface.
 
 use std::future::Future;
 use std::time::Duration;
@@ -9,9 +9,10 @@
 use dyketally_proxy::peers::{Peers, PeersError, PeersHandle, PeersSettings};
 use tokio::net::UdpSocket;
 
-/// Far longer than anything here takes, also on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time limit of each wait, far longer than any of them takes even on a busy machine.
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
+/// Number of nodes in the fleet.
 const COUNT: usize = 6;
 
 fn name(number: usize) -> NodeName {
@@ -25,11 +26,12 @@
     }
 }
 
-async fn patiently<T>(what: &str, future: impl Future<Output = T>) -> T {
-    let result = tokio::time::timeout(PATIENCE, future).await;
-    result.unwrap_or_else(|_| panic!("gave up on: {what}"))
+async fn within_limit<T>(what: &str, future: impl Future<Output = T>) -> T {
+    let result = tokio::time::timeout(WAIT_LIMIT, future).await;
+    result.unwrap_or_else(|_| panic!("waited {WAIT_LIMIT:?} without success for {what}"))
 }
 
+/// Starts the fleet and waits until every node sees all others alive.
 async fn start_fleet() -> Vec<PeersHandle> {
     let mut fleet: Vec<PeersHandle> = Vec::new();
     for number in 0..COUNT {
@@ -38,23 +40,25 @@
         fleet.push(Peers::start(settings).await.expect("starts"));
     }
     for handle in &fleet {
-        live_count(handle, COUNT).await;
+        wait_for_live_count(handle, COUNT).await;
     }
     fleet
 }
 
-async fn live_count(handle: &PeersHandle, count: usize) {
+/// Waits until the node sees `count` live nodes.
+async fn wait_for_live_count(handle: &PeersHandle, count: usize) {
     let mut views = handle.watch();
     let reached = views.wait_for(|view| view.live.nodes().len() == count);
-    patiently("the number of live nodes", reached)
+    within_limit("the number of live nodes", reached)
         .await
         .expect("task runs");
 }
 
-async fn state(handle: &PeersHandle, node: &NodeName, state: MemberState) {
+/// Waits until `handle` sees `node` in `state`.
+async fn wait_for_state(handle: &PeersHandle, node: &NodeName, state: MemberState) {
     let mut views = handle.watch();
     let reached = views.wait_for(|view| view.member(node).is_some_and(|it| it.state == state));
-    patiently("the state of a node", reached)
+    within_limit("the state of a node", reached)
         .await
         .expect("task runs");
 }
@@ -90,12 +94,12 @@
             .map(|other| &fleet[other])
     };
     for handle in others() {
-        state(handle, &leaving, MemberState::Leaving).await;
+        wait_for_state(handle, &leaving, MemberState::Leaving).await;
         assert_ne!(home(handle).expect("a home").node, leaving);
     }
     fleet[number].leave().await;
     for handle in others() {
-        state(handle, &leaving, MemberState::Left).await;
+        wait_for_state(handle, &leaving, MemberState::Left).await;
     }
 }
 
@@ -109,7 +113,7 @@
         .filter(|(number, _)| *number != 2)
         .map(|(_, it)| it)
     {
-        state(handle, &name(2), MemberState::Dead).await;
+        wait_for_state(handle, &name(2), MemberState::Dead).await;
     }
 }
 
@@ -132,7 +136,7 @@
             }
         }
     };
-    patiently("the newer revision", seen).await;
+    within_limit("the newer revision", seen).await;
 }
 
 #[tokio::test]
@@ -148,8 +152,8 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    patiently("the counter of garbage", counted).await;
-    live_count(&fleet[0], COUNT).await;
+    within_limit("the counter of garbage", counted).await;
+    wait_for_live_count(&fleet[0], COUNT).await;
 }
 
 #[tokio::test]
--- a/crates/dyketally-proxy/tests/retry_layer.rs
+++ b/crates/dyketally-proxy/tests/retry_layer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when a statement was run again after an unknown outcome.
+//! The completion that a caller receives when a statement is retried after an attempt of unknown outcome.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -62,12 +62,12 @@
     }
 }
 
-/// What the caller is told when the attempts end as `attempts` says.
-async fn told(request: StatementRequest, attempts: &[Completion]) -> Completion {
+/// Returns the completion that the caller receives when the attempts end as listed in `attempts`.
+async fn caller_completion(request: StatementRequest, attempts: &[Completion]) -> Completion {
     let attempts = Arc::new(Mutex::new(VecDeque::from(attempts.to_vec())));
     let inner = service_fn(move |_: StatementRequest| {
         let next = attempts.lock().unwrap().pop_front();
-        let completion = next.expect("no more attempts than listed");
+        let completion = next.expect("at most as many attempts as listed");
         async move {
             Ok::<_, Infallible>(StatementReply {
                 database: DatabaseName::from("a"),
@@ -99,5 +99,8 @@
     #[case] attempts: &[Completion],
     #[case] expected: Completion,
 ) {
-    assert_eq!(told(request(access, repeat), attempts).await, expected);
+    assert_eq!(
+        caller_completion(request(access, repeat), attempts).await,
+        expected
+    );
 }
--- a/crates/dyketally-proxy/tests/settings.rs
+++ b/crates/dyketally-proxy/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon: what is accepted, and that every fault is told with its remedy.
+//! Settings of the daemon: defaults, flags, and error messages, which say how to correct each fault.
 
 use std::path::PathBuf;
 use std::time::Duration;
