--- a/crates/dyketally-gateway/src/context/configuration.rs
+++ b/crates/dyketally-gateway/src/context/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration in force, and when it was last confirmed to be the newest one, which decides whether
-//! callers' keys can be trusted; see [`dyketally::tenant::KeyTrust`].
+//! The configuration in force, and when it was last confirmed to be the newest one. The age of this confirmation
+//! decides whether callers' keys can be trusted; see [`dyketally::tenant::KeyTrust`].
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 }
 
 impl Configuration {
-    /// Starts without a configuration; none is in force and nothing is confirmed.
+    /// The state of a node that has just started: no configuration is in force and none has been confirmed.
     pub fn new(policy: KeyPolicy) -> Self {
         Self {
             routes: RefCell::default(),
@@ -33,17 +33,17 @@
         }
     }
 
-    /// The routes in force.
+    /// The routes in force; empty while no configuration is in force.
     pub fn routes(&self) -> Rc<RouteSet> {
         self.routes.borrow().clone()
     }
 
-    /// True when a configuration is in force.
+    /// True once a configuration has been received.
     pub fn is_in_force(&self) -> bool {
         self.is_in_force.get()
     }
 
-    /// Replaces the routes in force.
+    /// Puts the configuration with `routes` into force.
     pub fn replace(&self, routes: RouteSet) {
         *self.routes.borrow_mut() = Rc::new(routes);
         self.is_in_force.set(true);
@@ -51,12 +51,12 @@
 }
 
 impl Context {
-    /// The routes in force.
+    /// The routes in force; empty while no configuration is in force.
     pub fn routes(&self) -> Rc<RouteSet> {
         self.configuration.routes()
     }
 
-    /// True when a configuration is in force.
+    /// True once this node has a configuration in force.
     pub fn is_configured(&self) -> bool {
         self.configuration.is_in_force()
     }
@@ -68,18 +68,18 @@
         }
     }
 
-    /// Records that the store, by a request sent at `asked`, has reported all changes of the configuration up to
-    /// then to this node.
-    pub fn record_key_confirmation(&self, asked: Timestamp) {
-        self.configuration.trust.borrow_mut().confirm(asked);
+    /// Records that this node has received from the store all changes of the configuration that were made before it
+    /// sent the request at `requested_at`.
+    pub fn record_key_confirmation(&self, requested_at: Timestamp) {
+        self.configuration.trust.borrow_mut().confirm(requested_at);
         self.log_if_trusted_again();
     }
 
-    /// Records that a relay, by a request sent at `asked`, has passed on all changes of the configuration that it
-    /// had received, and that the relay's own configuration was confirmed `age` before.
-    pub fn record_key_confirmation_by_relay(&self, asked: Timestamp, age: Duration) {
+    /// Records a relay's reply to the request sent at `requested_at`: the relay has passed on all changes of the
+    /// configuration that it had received, and its own configuration was last confirmed `age` before it replied.
+    pub fn record_key_confirmation_by_relay(&self, requested_at: Timestamp, age: Duration) {
         let mut trust = self.configuration.trust.borrow_mut();
-        trust.confirm_relayed(asked, age);
+        trust.confirm_relayed(requested_at, age);
         drop(trust);
         self.log_if_trusted_again();
     }
@@ -89,7 +89,8 @@
         self.configuration.trust.borrow().age(self.now())
     }
 
-    /// True while operations that need a key may be served. Logs the first time that they may not.
+    /// True while callers' keys can be trusted, so that operations that need a key may be served. Logs an event when
+    /// this is found to have become false.
     pub fn may_trust_keys(&self) -> bool {
         let holds = self.trusts_keys();
         if !holds && !self.configuration.logged_uncertain.replace(true) {
--- a/crates/dyketally-gateway/src/counters.rs
+++ b/crates/dyketally-gateway/src/counters.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// A counter for each kind. For messages to other nodes it counts bytes, without the headers of IP, TCP and
-/// UDP, by kind of message or by zone.
+/// A counter for each kind, such as a reason, a kind of message or a zone. Bytes are counted without the headers
+/// of IP, TCP and UDP.
 #[derive(Debug, Default, Serialize)]
 #[serde(transparent)]
 pub struct CountsByKind(RefCell<BTreeMap<String, u64>>);
@@ -48,40 +48,42 @@
 pub struct Counters {
     /// Sessions of callers that were opened.
     pub sessions: Counter,
-    /// Connections of callers that were refused since this node had no room for further sessions.
+    /// Connections of callers that were refused because this node had no room for further sessions.
     pub sessions_refused: Counter,
     /// Statements that succeeded, single ones and those of transactions.
     pub served: Counter,
     /// Statements that failed.
     pub failed: Counter,
-    /// Operations and sessions refused since no tenant has the caller's key.
+    /// Operations and sessions refused because no tenant has the caller's key.
     pub unknown_keys: Counter,
-    /// Operations and sessions refused since the node can't determine whether the caller's key is still
-    /// valid.
+    /// Operations and sessions refused because this node could not determine whether the caller's key was still
+    /// valid, and transactions rolled back for the same reason.
     pub keys_uncertain: Counter,
-    /// Operations refused since their tenant has used up its quota.
+    /// Operations refused because their tenant had used up its quota.
     pub over_quota: Counter,
-    /// Operations decided on by this node alone, without an accountant of the tenant's quota.
+    /// Operations that this node admitted or refused by its own part of the tenant's quota, because it reached no
+    /// accountant (a node that keeps the tenant's token account).
     pub permits_alone: Counter,
     /// Single reads that a replica answered.
     pub reads_at_replicas: Counter,
     /// Single reads that a primary answered.
     pub reads_at_primaries: Counter,
-    /// Single reads whose route requires a primary.
+    /// Single reads whose route requires a primary, counted again at each further attempt.
     pub reads_bound_to_primaries: Counter,
     /// Reads that a replica refused because its log was behind the required position.
     pub reads_behind: Counter,
     /// Attempts at statements beyond the first attempt of each.
     pub further_attempts: Counter,
-    /// Empty transactions that were run to get the log position of a primary.
+    /// Empty transactions that this node sent to confirm that a database is the primary and to get its log
+    /// position.
     pub confirmations: Counter,
-    /// Denied attempts to send to databases, by reason.
+    /// Batches that were not allowed to be sent to a database, by reason.
     pub denied: CountsByKind,
     /// Bytes sent to other nodes, by kind of message.
     pub sent_bytes: CountsByKind,
     /// Bytes sent to other nodes, by zone of the receiver.
     pub sent_bytes_by_zone: CountsByKind,
-    /// Bytes sent to nodes of other regions, by kind of message.
+    /// Bytes sent to nodes outside this node's region, by kind of message; also part of `sent_bytes`.
     pub sent_bytes_far: CountsByKind,
     /// Calls to the store.
     #[serde(flatten)]
@@ -108,14 +110,17 @@
     pub(crate) store_stale_reads: AtomicU64,
     /// Writes, each of a transaction or of a single key.
     pub(crate) store_writes: AtomicU64,
-    /// Waits for changes of keys that returned.
+    /// Replies to watches of keys: batches of changes, and errors. The first batch of each watch isn't counted, since
+    /// the client makes it without a message from the store.
     pub(crate) store_watches: AtomicU64,
     /// Calls that granted or ended a lease.
     pub(crate) store_leases: AtomicU64,
     /// Calls that renewed a lease.
     pub(crate) store_renewals: AtomicU64,
-    /// Bytes of keys and values received from the store, without the encoding of its protocol.
+    /// Bytes of keys and values in results of range reads and in changes reported by watches. Not counted: the
+    /// encoding of the protocol, and the replies to writes and leases.
     pub(crate) store_received_bytes: AtomicU64,
-    /// Bytes of keys and values sent to the store, without the encoding of its protocol.
+    /// Bytes of keys and values that puts send to the store, alone or in transactions. Not counted: the encoding of
+    /// the protocol, deletions, conditions, reads and leases.
     pub(crate) store_sent_bytes: AtomicU64,
 }
--- a/crates/dyketally-gateway/src/database/availability.rs
+++ b/crates/dyketally-gateway/src/database/availability.rs
@@ -1,5 +1,5 @@
-//! Records since when a group has had no primary that this node can use. [`crate::decision::wait`] derives from
-//! it how long statements wait for one.
+//! Records the current outage of a group's primary: how long this node has found no primary that it can use.
+//! From this, [`crate::decision::wait`] derives how long statements wait for one.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,51 +8,57 @@
 
 use crate::decision::wait;
 
-/// Since when a group has had no usable primary, from the attempts that found none.
+/// The last outage of a group's primary, as seen by the attempts of this node.
 #[derive(Debug, Default)]
 pub struct PrimaryAvailability {
-    loss: Cell<Option<Loss>>,
+    outage: Cell<Option<Outage>>,
 }
 
-/// A series of failed attempts, each of them soon after the one before.
+/// A series of attempts that found no usable primary, each less than [`wait::SAME_OUTAGE_GAP`] after the
+/// previous one.
 #[derive(Clone, Copy, Debug)]
-struct Loss {
-    first: Instant,
-    last: Instant,
+struct Outage {
+    first_failure: Instant,
+    last_failure: Instant,
 }
 
-impl Loss {
-    /// True while another failed attempt would belong to this loss rather than begin a new one.
+impl Outage {
+    /// True while another failed attempt would belong to this outage rather than begin a new one.
     fn is_ongoing(&self) -> bool {
-        wait::is_same_outage(self.last.elapsed())
+        wait::is_same_outage(self.last_failure.elapsed())
     }
 }
 
 impl PrimaryAvailability {
     /// Records that an attempt found no usable primary.
     pub fn record_failed_attempt(&self) {
-        let last = Instant::now();
-        let first = self.current().map_or(last, |loss| loss.first);
-        self.loss.set(Some(Loss { first, last }));
+        let last_failure = Instant::now();
+        let first_failure = self
+            .current()
+            .map_or(last_failure, |outage| outage.first_failure);
+        self.outage.set(Some(Outage {
+            first_failure,
+            last_failure,
+        }));
     }
 
-    /// Records that the primary answered.
+    /// Records that the primary answered, which ends the outage.
     pub fn record_answer(&self) {
-        self.loss.set(None);
+        self.outage.set(None);
     }
 
-    /// Until when a statement waits for a primary; never after `latest`.
+    /// The time until which a new write waits for a usable primary; never after `latest`.
     pub fn wait_until(&self, latest: Instant) -> Instant {
         (Instant::now() + wait::primary_wait(self.missing_for())).min(latest)
     }
 
-    /// Time since the first attempt of the current loss; zero while no attempt has failed.
+    /// Time since the first failed attempt of the current outage; zero without an outage.
     pub fn missing_for(&self) -> Duration {
         self.current()
-            .map_or(Duration::ZERO, |loss| loss.first.elapsed())
+            .map_or(Duration::ZERO, |outage| outage.first_failure.elapsed())
     }
 
-    fn current(&self) -> Option<Loss> {
-        self.loss.get().filter(Loss::is_ongoing)
+    fn current(&self) -> Option<Outage> {
+        self.outage.get().filter(Outage::is_ongoing)
     }
 }
--- a/crates/dyketally-gateway/src/database/connection/answer.rs
+++ b/crates/dyketally-gateway/src/database/connection/answer.rs
@@ -1,4 +1,4 @@
-//! The complete answer of a database to one command.
+//! Complete answers of a database to commands.
 
 use bytes::Bytes;
 use dyketally::group::LogPosition;
@@ -7,12 +7,13 @@
 
 /// The complete answer to one command.
 ///
-/// Homes send it to other nodes in postcard, which depends on the order of the fields.
+/// Homes (nodes that keep connections to a database) send it to other nodes, encoded with the `postcard` crate,
+/// which depends on the order of the fields.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Answer {
     /// The rows of the result.
     pub rows: Vec<Bytes>,
-    /// The signature with which the database completed the command, or the failure.
+    /// The signature, which is the text with which the database completed the command; or the failure.
     pub end: Result<Bytes, Failure>,
     /// The connection's transaction state after the command.
     pub state: TransactionState,
--- a/crates/dyketally-gateway/src/database/connection/error.rs
+++ b/crates/dyketally-gateway/src/database/connection/error.rs
@@ -7,11 +7,15 @@
 /// Why a connection could not be opened.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The address refused the connection, or the connection broke before the database accepted it.
-    #[error("the database refused the connection; check that it is running")]
+    /// The connection was refused, or it failed before the database accepted it: it broke, or a reply was invalid.
+    #[error(
+        "the connection was refused or failed before the database accepted it; check that the database is running"
+    )]
     Refused,
-    /// The database didn't answer within the time limit.
-    #[error("the database didn't answer within the time limit; check that it can be reached")]
+    /// The database didn't answer within the time limit, or no network route leads to its host.
+    #[error(
+        "the database didn't answer in time or its host is unreachable; check that it can be reached"
+    )]
     Silent,
     /// The database rejected the connection.
     #[error("the database rejected the connection: {}", .0.message)]
@@ -19,7 +23,8 @@
 }
 
 impl OpenError {
-    /// Classifies an error of the transport.
+    /// Classifies a transport error: a time-out or an unreachable host as [`OpenError::Silent`], all others as
+    /// [`OpenError::Refused`].
     pub(super) fn of_transport(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::TimedOut | io::ErrorKind::HostUnreachable => Self::Silent,
@@ -32,7 +37,7 @@
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("the connection broke: {reason}; the statement may have run")]
 pub struct BrokenConnection {
-    /// Cause, such as the transport's error.
+    /// Why the connection broke, such as the transport's error. Follows "the connection broke: " in the message.
     pub reason: String,
 }
 
@@ -44,8 +49,11 @@
         }
     }
 
-    /// The error for an answer that is invalid because its database was replaced as primary before it arrived.
+    /// The error for an answer that is discarded because its database might no longer have been primary when the
+    /// answer arrived.
     pub fn primary_replaced() -> Self {
-        Self::new("another database became primary before the answer arrived")
+        Self::new(
+            "the answer was discarded, since another database may have become primary before it arrived",
+        )
     }
 }
--- a/crates/dyketally-gateway/src/database/connection/mod.rs
+++ b/crates/dyketally-gateway/src/database/connection/mod.rs
@@ -34,11 +34,10 @@
     user: DatabaseUser,
     input: BytesMut,
     session: SessionState,
-    /// Commands without a complete answer, also those whose caller has stopped waiting.
+    /// Number of commands without a complete answer, including those whose caller has stopped waiting.
     unanswered: usize,
     /// When the connection was last returned to its pool.
     pub idle_since: Instant,
-    /// When opening the connection began.
     opening_began: Instant,
 }
 
@@ -82,22 +81,26 @@
         }
     }
 
-    /// Runs a batch and returns one answer for each step. With [`Flow::UntilFailure`] the first failed step is the
-    /// last.
+    /// Runs a batch and returns one answer for each step. With [`Flow::UntilFailure`] the first step that fails is
+    /// the last that is sent. The connection is first given the batch's session context.
     ///
     /// # Errors
-    /// The connection broke, so that any of the steps may have run; or an earlier statement whose caller stopped
-    /// waiting is unanswered, so that the connection can't be used any more.
+    /// The connection broke, so that any of the steps may have run. Or an earlier command on the connection is still
+    /// unanswered, for example because its caller stopped waiting; then nothing is sent, and the connection can't be
+    /// used any more.
     pub async fn run(&mut self, batch: &Batch) -> Result<Vec<Answer>, BrokenConnection> {
         if self.unanswered > 0 {
             return Err(BrokenConnection::new(
-                "an earlier statement on it is still unanswered",
+                "it can't be used any more, since an earlier statement that was sent on it is still unanswered",
             ));
         }
-        let (adoption, name) = self.session.adopt(batch.context.as_ref());
+        let (setup, prepared) = self.session.adopt(batch.context.as_ref());
         let answers = match batch.flow {
-            Flow::Together => self.run_together(adoption, &batch.steps, &name).await?,
-            Flow::UntilFailure => self.run_sequentially(adoption, &batch.steps, &name).await?,
+            Flow::Together => self.run_together(setup, &batch.steps, &prepared).await?,
+            Flow::UntilFailure => {
+                self.run_sequentially(setup, &batch.steps, &prepared)
+                    .await?
+            }
         };
         let failed = answers.iter().any(|answer| answer.end.is_err());
         self.session.reset_if(match batch.reset {
@@ -108,32 +111,35 @@
         Ok(answers)
     }
 
+    /// Sends all `steps` at once, after the commands of `setup` that give the connection the session context. Returns
+    /// the answers to the steps. `prepared` is the connection's name for the batch's prepared statement.
     async fn run_together(
         &mut self,
-        adoption: Vec<DatabaseCommand>,
+        setup: Vec<DatabaseCommand>,
         steps: &[Step],
-        name: &str,
+        prepared: &str,
     ) -> Result<Vec<Answer>, BrokenConnection> {
-        let adopted = adoption.len();
-        let mut commands = adoption;
-        commands.extend(steps.iter().map(|step| step.command(name)));
+        let setup_count = setup.len();
+        let mut commands = setup;
+        commands.extend(steps.iter().map(|step| step.command(prepared)));
         let mut answers = self.exchange(&commands).await?;
-        self.session.check_adoption(&answers, adopted);
-        Ok(answers.split_off(adopted))
+        self.session.check_adoption(&answers, setup_count);
+        Ok(answers.split_off(setup_count))
     }
 
+    /// Like [`Connection::run_together`], but sends each step only after the previous one has succeeded.
     async fn run_sequentially(
         &mut self,
-        adoption: Vec<DatabaseCommand>,
+        setup: Vec<DatabaseCommand>,
         steps: &[Step],
-        name: &str,
+        prepared: &str,
     ) -> Result<Vec<Answer>, BrokenConnection> {
         let mut answers = Vec::with_capacity(steps.len());
-        let mut adoption = Some(adoption);
+        let mut setup = Some(setup);
         for step in steps {
-            let adoption = adoption.take().unwrap_or_default();
+            let setup = setup.take().unwrap_or_default();
             let step = std::slice::from_ref(step);
-            answers.extend(self.run_together(adoption, step, name).await?);
+            answers.extend(self.run_together(setup, step, prepared).await?);
             if answers.last().is_some_and(|answer| answer.end.is_err()) {
                 break;
             }
@@ -205,12 +211,12 @@
         self.opening_began
     }
 
-    /// True when the database closed the connection.
+    /// True when the other side has closed the connection.
     pub fn was_closed(&self) -> bool {
         socket::was_closed(&self.stream)
     }
 
-    /// The user in whose name the connection is open.
+    /// The user as whom the connection was opened at the database.
     pub fn user(&self) -> &DatabaseUser {
         &self.user
     }
@@ -220,7 +226,8 @@
         self.unanswered > 0 || !is_open_without_input(&self.stream) || !self.input.is_empty()
     }
 
-    /// Relative cost of giving the connection the session settings `values`; 0 if no command is needed.
+    /// Relative cost of giving the connection the session settings `values`, without a unit: 0 if no command is
+    /// needed, 1 if settings must be sent, 2 if the connection must be reset first.
     pub fn adoption_cost(&self, values: &BTreeMap<String, String>) -> u32 {
         self.session.adoption_cost(values)
     }
--- a/crates/dyketally-gateway/src/database/eligibility.rs
+++ b/crates/dyketally-gateway/src/database/eligibility.rs
@@ -10,10 +10,10 @@
 use super::target::Target;
 
 impl Databases {
-    /// Permission to send a batch of `intent` to `target` now.
+    /// Permission to send a batch to `target` now; `intent` is what the batch requires of the database.
     ///
     /// # Errors
-    /// The reason why the batch may not be sent, which is also counted.
+    /// The reason why the batch is not allowed to be sent. Each such denial is counted.
     pub fn permission_to_send(
         &self,
         target: &Target,
@@ -22,15 +22,16 @@
         let directory = self.directory.borrow();
         let result = match directory.member(&target.name) {
             Some(member) => self.check_eligibility(member, intent),
+            // A database that has been removed from the directory counts as leaving.
             None => Err(Denial::Leaving),
         };
         result.inspect_err(|denial| self.cx.counters.denied.add(denial.kind(), 1))
     }
 
-    /// Checks whether a batch of `intent` may be sent to `member`.
+    /// Checks whether a batch that requires `intent` may be sent to `member`.
     ///
     /// # Errors
-    /// The reason why it may not be sent.
+    /// The reason why the batch is not allowed to be sent.
     pub fn check_eligibility(
         &self,
         member: &Member,
@@ -57,8 +58,9 @@
         judge(intent, standing, self.eligibility_bounds())
     }
 
-    /// The lasting reason why statements of `intent` can't run at any database of `group`: it holds until the
-    /// configuration, the evacuated zones or the primary change. `None` if such statements can run now or soon.
+    /// The lasting reason why statements that require `intent` can't run at any database of `group`: it holds
+    /// until the configuration, the evacuated zones or the primary change. `None` if such statements can run now
+    /// or soon.
     pub fn lasting_denial(&self, group: &GroupName, intent: &Intent) -> Option<Denial> {
         if intent.needs_leader {
             let denial = self.primary_target(group, &intent.regions).err();
@@ -69,6 +71,7 @@
         for member in directory.members(group) {
             match self.check_eligibility(member, intent) {
                 Err(denial) if denial.is_lasting() => lasting = Some(denial),
+                // Such a member will run no statement soon, so the other members decide.
                 Err(Denial::Evacuated | Denial::Leaving) if !self.may_serve(member) => {}
                 Ok(_) | Err(_) => return None,
             }
@@ -88,7 +91,8 @@
         members.any(|member| member.name() != database && self.may_serve(member))
     }
 
-    /// True when another database of `group` that is warm could take over from `database`.
+    /// True when another database of `group` could take over from `database` and is warm, that is, not limited
+    /// to a low rate of statements as a cold database is after its start.
     pub fn has_warm_successor(&self, group: &GroupName, database: &DatabaseName) -> bool {
         let directory = self.directory.borrow();
         let mut members = directory.members(group);
--- a/crates/dyketally-gateway/src/database/group.rs
+++ b/crates/dyketally-gateway/src/database/group.rs
@@ -1,5 +1,5 @@
-//! What this node observed of each group of databases: the log positions of its primary, the lag of its
-//! replicas, and whether it has a usable primary.
+//! What this node observed of each group of databases: the log positions of its primary, and whether it has a
+//! usable primary. From the positions, a single estimate of the replication lag is kept for all groups.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
     pub observations: RefCell<Observations>,
     /// Notified after each observation and after each failed attempt to make one.
     pub observed: Notify,
-    /// Since when the group has had no primary that this node can use.
+    /// Whether this node can use the group's primary, and since when it could not.
     pub availability: PrimaryAvailability,
 }
 
@@ -77,8 +77,8 @@
         group.observed.notify_waiters();
     }
 
-    /// Time since which the primary of `group` has been known to hold `position`; zero if `position` is
-    /// `None`, as it is before it was requested from the primary.
+    /// How long the primary of `group` has been known to hold `position`; zero if the position is not yet known,
+    /// or if no kept observation shows it.
     pub fn position_age(&self, group: &GroupName, position: Option<LogPosition>) -> Duration {
         let state = self.group(group);
         let observations = state.observations.borrow();
@@ -87,7 +87,8 @@
         })
     }
 
-    /// Updates the lag estimate with a replica of `group` that held or lacked `position`.
+    /// Updates the estimate of the replication lag, which is shared by all groups: a replica of `group` held
+    /// `position` (`held`) or lacked it.
     pub fn record_replica_lag(&self, group: &GroupName, position: LogPosition, held: bool) {
         let age = self.position_age(group, Some(position));
         let mut lag = self.replica_lag.get();
--- a/crates/dyketally-gateway/src/database/health.rs
+++ b/crates/dyketally-gateway/src/database/health.rs
@@ -1,4 +1,5 @@
-//! Health of one database, as observed from this node's own traffic: latency, failures and lag.
+//! Health of one database, as this node observes it in statements and probes: latency, failures, and whether
+//! its log was behind.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,12 +18,13 @@
 /// Half-life with which the average latency returns to the expected one while no samples arrive, so that a
 /// database that was slow gets reads again.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
-/// How long reads exclude a database after a failure: about as long as replacing a primary takes, 0.4 to
-/// 0.8 s.
-const FAILURE_EXCLUSION: Duration = Duration::from_millis(700);
-/// How long a replica that lacked a position is excluded from reads that need that position or a later one;
-/// doubles each time that it still lacks it. The first delay is short, since a node may observe a group's
-/// position only once in 400 ms.
+/// How long a database is suspended after a failure, so that reads prefer other databases: about as long as
+/// replacing a primary takes, 0.4 to 0.8 s.
+const SUSPENSION: Duration = Duration::from_millis(700);
+/// How long a replica that lacked a position is excluded from reads that need that position or a later one,
+/// while the group has a primary; doubles each time that the replica lacks a needed position again. The first
+/// delay is short: this node may observe a new position of the group only every 400 ms, and a replica that
+/// catches up earlier should serve reads again before then.
 const BEHIND_EXCLUSION: Backoff = Backoff {
     first: Duration::from_millis(60),
     longest: Duration::from_millis(1_000),
@@ -32,15 +34,19 @@
 pub struct DatabaseState {
     /// Connections to the database.
     pub pool: Rc<Pool>,
-    /// Statements sent to the database and not yet answered.
+    /// Number of statements sent to the database and not yet answered.
     pub in_flight: Cell<u32>,
     /// True while a probe of the database runs.
     pub probe_running: Cell<bool>,
+    /// Average latency of answers, in milliseconds, as of `sampled_at`.
     latency_ms: Cell<f64>,
     sampled_at: Cell<Instant>,
     answered_at: Cell<Option<Instant>>,
+    /// Result of the last probe, and when it was recorded.
     evidence: Cell<Option<(Evidence, Instant)>>,
+    /// When the database last failed; `None` once it has answered again.
     failed_at: Cell<Option<Instant>>,
+    /// The position that the database last lacked; `None` once it has held a needed position again.
     behind: Cell<Option<Behind>>,
 }
 
@@ -49,7 +55,7 @@
 struct Behind {
     needed: LogPosition,
     at: Instant,
-    /// Consecutive reads that found the replica behind; reads during an exclusion don't count.
+    /// Number of consecutive reads that found the replica behind; reads during an exclusion don't count.
     count: u32,
 }
 
@@ -107,14 +113,15 @@
         self.behind.set(None);
     }
 
-    /// True when the database failed recently, so that reads should prefer others.
+    /// True while the database is suspended after a failure, so that reads prefer other databases.
     pub fn is_suspended(&self) -> bool {
         self.failed_at
             .get()
-            .is_some_and(|at| at.elapsed() < FAILURE_EXCLUSION)
+            .is_some_and(|at| at.elapsed() < SUSPENSION)
     }
 
-    /// True when the database's log probably still lacks `needed`.
+    /// True while the database is excluded from reads that need `needed`, because its log probably still lacks
+    /// that position.
     pub fn is_behind(&self, needed: LogPosition) -> bool {
         let behind = self.behind.get();
         behind.is_some_and(|behind| behind.needed <= needed && behind.is_excluded())
@@ -138,7 +145,8 @@
     }
 
     /// Estimated latency of one more statement, in milliseconds. `expected_ms` is the latency without load,
-    /// below which the estimate never falls.
+    /// below which the estimate never falls; `slots` is the number of statements that the database runs at the
+    /// same time.
     pub fn latency_estimate(&self, expected_ms: f64, slots: u32) -> f64 {
         let idle = self.sampled_at.get().elapsed().as_secs_f64();
         let decay = 0.5_f64.powf(idle / LATENCY_HALF_LIFE.as_secs_f64());
--- a/crates/dyketally-gateway/src/database/pool/opening.rs
+++ b/crates/dyketally-gateway/src/database/pool/opening.rs
@@ -42,13 +42,15 @@
                 Ok(Checkout::new(self.clone(), connection, guards))
             }
             Err(error) => {
+                // A rejection shows that the database is running. Any other error might mean that it is restarting,
+                // after which it is cold: it accepts only a limited rate of statements at first.
                 if !matches!(error, OpenError::TurnedAway(_)) {
                     self.pacer.record_possible_restart();
                 }
                 if is_overload(&error) {
                     self.size.record_refusal(self.open.get().saturating_sub(1));
                 }
-                // With less than the full time limit, a time-out doesn't show that the database is silent.
+                // A time-out after less than `OPEN_TIMEOUT` doesn't show that the database is silent.
                 match (error, left < OPEN_TIMEOUT) {
                     (OpenError::Silent, true) => Err(CheckoutError::Exhausted),
                     (error, _) => Err(error.into()),
--- a/crates/dyketally-gateway/src/database/regions.rs
+++ b/crates/dyketally-gateway/src/database/regions.rs
@@ -1,4 +1,6 @@
-//! Chooses the regions in which the primary of a group should run.
+//! Chooses the regions in which the primary of a group should run, by the demand that a primary there could
+//! serve. The demand of a region is the summed weight of the routes and tenants whose serving regions include
+//! it; a tenant's weight is its quota in operations per second, or 1 without a quota.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +12,7 @@
 
 impl Databases {
     /// The regions in which a successor of `primary` should run: among the regions with a database that can
-    /// take over, those that may serve most of the group's demand.
+    /// take over, those with the highest demand or close to it. All regions if nothing is bound to regions.
     pub fn successor_regions(&self, primary: &Target) -> ServingRegions {
         let routes = self.cx.routes();
         if !routes.binds_regions() {
@@ -21,8 +23,9 @@
         ServingRegions::only(regions)
     }
 
-    /// The region to which the lead should move from `primary`, by the serving regions of routes and tenants;
-    /// `None` if the lead should stay.
+    /// The region to which the group's primary should move from the region of `primary`, because its demand
+    /// is clearly higher; `None` if the primary should stay. The result holds this one region, as the set of
+    /// regions in which the successor may run.
     pub fn preferred_regions(&self, primary: &Target) -> Option<ServingRegions> {
         let routes = self.cx.routes();
         if !routes.binds_regions() {
@@ -35,7 +38,8 @@
         preferred.map(|region| ServingRegions::only([region]))
     }
 
-    /// The regions of the group's databases that may serve, without the database `excluded`.
+    /// The regions of the group's databases that are ready and not in an evacuated zone, except for the
+    /// database `excluded`.
     fn usable_regions(
         &self,
         group: &GroupName,
@@ -51,7 +55,7 @@
         regions.into_iter().collect()
     }
 
-    /// The region of a zone.
+    /// The region of `zone`, from the settings.
     pub fn region_of_zone(&self, zone: &ZoneName) -> RegionName {
         self.cx.settings.locality(zone).region
     }
--- a/crates/dyketally-gateway/src/decision/come_back.rs
+++ b/crates/dyketally-gateway/src/decision/come_back.rs
@@ -1,22 +1,24 @@
-//! When a refused caller should retry.
+//! How long a refused caller should wait before it retries (retry-after).
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
 use dyketally::statement::FailureKind;
 
-/// Retry-after of most refusals, in milliseconds: queues are short, and another node may serve the
-/// statement.
+/// Retry-after of most refusals, in milliseconds: queues are short, and another node might be able to serve
+/// the statement.
 const RETRY_AFTER_MS: u64 = 250;
-/// Retry-after when no database may serve the statement, in milliseconds: the primary may be moving to a
-/// database that may, which takes 0.4 to 1.3 s (decisions 0046 and 0049).
+/// Retry-after when no database is allowed to serve the statement, in milliseconds. The primary might be
+/// moving to a database that is allowed to serve it, which takes 0.4 to 1.3 s
+/// (docs/decisions/0046-fences-before-a-succession.md, docs/decisions/0049-refusals-that-are-true.md).
 const NOT_SERVED_RETRY_AFTER_MS: u64 = 1_000;
-/// Range of the retry-after while a database is cold, in milliseconds. Random samples spread callers that
-/// are refused together, so that they don't overload the database in the same second.
+/// Range of the retry-after while a database is cold, that is, has just started and accepts only a limited
+/// rate of statements; in milliseconds. A random value for each caller spreads callers that are refused
+/// together, so that they don't overload the database in the same second.
 const COLD_RETRY_AFTER_MS: RangeInclusive<u64> = 300..=2_000;
 
-/// Retry-after of a statement that was refused for `refusal` and has not run. `sample` returns a random
-/// number of the range.
+/// Retry-after of a statement that was refused with `refusal` and has not run. `sample` returns a random
+/// number in the range that it is given.
 pub fn after_refusal(
     refusal: FailureKind,
     sample: impl FnOnce(RangeInclusive<u64>) -> u64,
--- a/crates/dyketally-gateway/src/decision/learn.rs
+++ b/crates/dyketally-gateway/src/decision/learn.rs
@@ -1,7 +1,8 @@
 //! What a refusal or an answer shows about the database that sent it.
 //!
-//! Only statements of the database about itself count here. Whether it can be reached, and how fast it
-//! answers, is recorded by `database::health` from the exchange.
+//! This module evaluates what a database reports about its own role and log: whether it leads its group, and
+//! whether its log holds a position. Whether the database can be reached, and how fast it answers, is
+//! recorded by `database::health`.
 
 use dyketally::group::LogPosition;
 use dyketally::statement::FailureKind;
@@ -14,25 +15,25 @@
 pub enum Feedback {
     /// The database doesn't lead its group.
     Follows,
-    /// The database's log lacked a position.
+    /// The database's log lacked the position that a statement needed.
     Behind {
-        /// The position that was lacking.
+        /// The needed position.
         needed: LogPosition,
         /// True when the refusal also updates the estimate of the usual replication lag.
         updates_lag_estimate: bool,
     },
-    /// The database's log held a position.
+    /// The database's log held the position that a statement needed.
     Holds {
-        /// The position that was held.
+        /// The needed position.
         needed: LogPosition,
         /// True when the answer also updates the estimate of the usual replication lag.
         updates_lag_estimate: bool,
     },
 }
 
-/// What a refusal shows about the database that was asked to make `check`.
+/// What `refusal` shows about the database that sent it; `check` is what the database had to check first.
 ///
-/// Refusals of reads update the estimate of the replication lag, those of transactions don't.
+/// Refusals of reads update the estimate of the replication lag; refusals of writes and transactions don't.
 pub fn from_refusal(
     operation: Operation,
     check: FreshnessCheck,
@@ -48,8 +49,10 @@
     }
 }
 
-/// What an answer shows about the database that made `check` and is treated as the leader if `leads`. That
-/// a database leads is recorded separately, once it is certain that no other one has replaced it.
+/// What an answer shows about the database that sent it. `check` is what the database checked first; `leads`
+/// is true if this node treats the database as the leader. An answer to [`FreshnessCheck::Leads`] gives no
+/// feedback here: that the database leads is recorded elsewhere, once it is certain that no other database
+/// has replaced it.
 pub fn from_answer(operation: Operation, check: FreshnessCheck, leads: bool) -> Option<Feedback> {
     match check {
         FreshnessCheck::Leads => None,
@@ -60,9 +63,9 @@
     }
 }
 
-/// What a refusal shows that doesn't come from the database but from a home or from a check of this node.
-/// For the first statement of a transaction it counts like a refusal by the database; for reads and writes
-/// it shows nothing.
+/// What a refusal shows about a database that did not send it itself: it comes from a home (a node that
+/// keeps connections to the database) or from a check of this node. For the first statement of a transaction
+/// it counts like a refusal by the database; for reads and writes it shows nothing.
 pub fn from_refusal_without_answer(
     operation: Operation,
     check: FreshnessCheck,
@@ -79,15 +82,17 @@
 pub enum ReadAfterBegin {
     /// The read has not run.
     NotRun(FailureKind),
-    /// The read ran by itself after the `BEGIN` was refused, so its answer may be stale.
+    /// The `BEGIN` was refused and the read ran outside a transaction, so its answer might be stale.
     Inconclusive,
-    /// The reply is the answer, provided that the database still leads.
+    /// The reply is valid if the database still leads, which the requester has to check.
     AnswerIfLeading,
-    /// The read failed at the leader, and the failure is the answer.
+    /// The read failed at the leader; the failure is returned to the caller.
     FailedAtLeader,
 }
 
-/// Rates the reply to a read after a `BEGIN`, by the failures of the two, if any.
+/// Evaluates the reply to a read that was sent after a `BEGIN`. `begin` and `read` are the failures of the
+/// two statements; `None` if the statement succeeded. If the read has not run, a failure of the `BEGIN` is
+/// reported rather than that of the read, since it came first.
 pub fn read_after_begin(begin: Option<FailureKind>, read: Option<FailureKind>) -> ReadAfterBegin {
     match (begin, read) {
         (begin, Some(kind)) if kind.not_run() => ReadAfterBegin::NotRun(begin.unwrap_or(kind)),
@@ -97,8 +102,8 @@
     }
 }
 
-/// What a read after a `BEGIN` shows about the database, by the failures of the two, if any: either may
-/// show that the database doesn't lead.
+/// What a read that was sent after a `BEGIN` shows about the database. `begin` and `read` are the failures of
+/// the two statements; if either is `ReadOnly`, the database doesn't lead.
 pub fn from_read_after_begin(
     begin: Option<FailureKind>,
     read: Option<FailureKind>,
--- a/crates/dyketally-gateway/src/decision/refuse.rs
+++ b/crates/dyketally-gateway/src/decision/refuse.rs
@@ -1,7 +1,8 @@
 //! Which error the caller receives for a statement without an answer.
 //!
-//! The caller is told that a statement has not run only if that is proven: every database and home that it
-//! was sent to has rejected it. `P` is the type of the proof, which is passed on into the error.
+//! The error says that a statement has not run only if that is proven: every database to which the statement
+//! was sent, and every home (a node that keeps connections to a database), has rejected it. The error then
+//! carries the proof, a value of type `P`.
 
 use dyketally::statement::FailureKind;
 
@@ -12,7 +13,7 @@
 pub enum StatementError<P> {
     /// The statement has not run; the caller may retry it.
     NotRun {
-        /// Why it was refused.
+        /// Why the statement was refused.
         refusal: FailureKind,
         /// Proof that the statement has not run.
         proof: P,
@@ -23,8 +24,9 @@
     TimedOut,
 }
 
-/// The error for a statement that was given up for `reason` after its last attempt was refused for
-/// `refusal`.
+/// The error for a statement outside a transaction that was given up for `reason`. `refusal` is the failure
+/// with which its last attempt was refused; `not_run` is the proof that the statement has not run, if there
+/// is one.
 pub fn single_statement<P>(
     reason: Reason,
     refusal: FailureKind,
--- a/crates/dyketally-gateway/src/decision/retry.rs
+++ b/crates/dyketally-gateway/src/decision/retry.rs
@@ -1,8 +1,8 @@
-//! What is retried, how often, and after which pause.
+//! Which statements are retried, how often, and after which pause.
 //!
-//! A statement that has not run is retried until its time is over. A statement whose answer was lost may
-//! have run: a read is retried, a write never. A transaction is started again if only its first statement
-//! was sent, since it has no effect before it commits.
+//! A statement that has not run is retried until it is given up, see [`crate::decision::give_up`]. A
+//! statement whose answer was lost may have run: a read is retried, a write never. A transaction is started
+//! again if only its first statement was sent, since it has no effect before it commits.
 
 use std::time::Duration;
 
@@ -10,7 +10,9 @@
 
 use crate::decision::Operation;
 
-/// Pause before a statement that has not run is retried.
+/// Pause before a write or a statement of a transaction is retried. Unless the transaction is already open
+/// at a database, a change of routes or databases ends the pause early. A read that has no attempt running
+/// waits this long before it looks for a database again; see also [`read_pause_after`].
 pub const RETRY_PAUSE: Duration = Duration::from_millis(25);
 /// Maximum number of attempts of one read: bounds the cost of a statement.
 pub const MAX_ATTEMPTS: u32 = 12;
@@ -32,13 +34,14 @@
     attempts.running < MAX_RUNNING_ATTEMPTS && attempts.made < MAX_ATTEMPTS
 }
 
-/// Extra pause of a read after an attempt that ended with `refusal`: a database without a free slot gets a
-/// moment to free one. Writes and transactions always pause for [`RETRY_PAUSE`].
+/// Pause of a read after an attempt that ended with `refusal`, before it starts another: half of
+/// [`RETRY_PAUSE`] after `Busy`, so that a database without a free slot can free one, and none otherwise.
+/// Writes and transactions pause for [`RETRY_PAUSE`] instead, whatever the refusal.
 pub fn read_pause_after(refusal: FailureKind) -> Option<Duration> {
     (refusal == FailureKind::Busy).then(|| RETRY_PAUSE / 2)
 }
 
-/// What becomes of a statement whose answer was lost.
+/// What to do with a statement whose answer was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterLoss {
     /// The statement is retried.
@@ -56,8 +59,8 @@
 }
 
 /// True when a statement of a transaction that is open at a database is retried on the same connection: the
-/// database was too busy to run it, and giving up would waste the work of the transaction. `time_left` is
-/// the time until the statement is given up.
+/// database was too busy to run it, and giving up would discard what the transaction has done so far.
+/// `time_left` is the time until the statement is given up.
 pub fn retries_in_transaction(
     refusal: Option<FailureKind>,
     state: TransactionState,
--- a/crates/dyketally-gateway/src/decision/wait.rs
+++ b/crates/dyketally-gateway/src/decision/wait.rs
@@ -1,22 +1,25 @@
 //! How long statements wait for a usable primary.
 //!
-//! Replacing a primary takes about a second, during which it is best to wait. A primary that has been
-//! unusable from this node for longer may be usable from other nodes, which callers reach when they retry;
-//! from then on a statement is refused as soon as an attempt has failed.
+//! Replacing a primary takes about a second, during which it is best to wait. If a primary has been unusable
+//! from this node for [`PRIMARY_WAIT`] or longer, other nodes may still be able to use it, and callers reach
+//! them when they retry. Until the outage ends, a statement is therefore given up after its first failed
+//! attempt unless another database can still be tried, and a write without a known primary waits only for
+//! [`MIN_PRIMARY_WAIT`].
 
 use std::time::Duration;
 
 use crate::decision::retry::RETRY_PAUSE;
 
-/// How long statements wait for a primary, counted from the first attempt that found none. A failover
-/// usually takes 0.4 to 0.8 s from the first suspicion until the new primary leads (decision 0046), and up
-/// to 1.3 s (decision 0049).
+/// How long statements wait for a primary, counted from the first failed attempt of the outage. A failover
+/// usually takes 0.4 to 0.8 s from the first suspicion until the new primary leads
+/// (docs/decisions/0046-fences-before-a-succession.md), and up to 1.3 s
+/// (docs/decisions/0049-refusals-that-are-true.md).
 pub const PRIMARY_WAIT: Duration = Duration::from_millis(1_500);
-/// Gap between failed attempts from which on they belong to different outages; the wait for the primary
-/// starts anew with each outage.
+/// Failed attempts less than this apart belong to the same outage. After a longer gap a new outage begins,
+/// and with it the wait for the primary starts again at [`PRIMARY_WAIT`].
 pub const SAME_OUTAGE_GAP: Duration = Duration::from_secs(1);
-/// How long a statement waits for a primary that has been missing for longer than a failover takes: enough
-/// for an attempt, a pause and a second attempt.
+/// Minimum time that a write waits for a usable primary, even if the outage has lasted for [`PRIMARY_WAIT`]:
+/// at least two retry pauses, so that a primary that becomes usable during them is still found.
 pub const MIN_PRIMARY_WAIT: Duration = Duration::from_millis(50);
 
 const _: () = assert!(RETRY_PAUSE.as_millis() * 2 <= MIN_PRIMARY_WAIT.as_millis());
@@ -26,15 +29,16 @@
     since_last < SAME_OUTAGE_GAP
 }
 
-/// How long a new statement waits for a primary that has been missing for `missing_for`, which is zero
-/// before an attempt has failed.
+/// How long a new write waits for a primary that has been missing for `missing_for`, which is zero before an
+/// attempt has failed.
 pub fn primary_wait(missing_for: Duration) -> Duration {
     PRIMARY_WAIT
         .saturating_sub(missing_for)
         .max(MIN_PRIMARY_WAIT)
 }
 
-/// True when statements that need the primary are refused after a single failed attempt.
+/// True when a statement is given up after a single failed attempt if no other database can be tried: the
+/// primary has been missing for `missing_for`, longer than a failover takes.
 pub fn is_unavailable(missing_for: Duration) -> bool {
     missing_for >= PRIMARY_WAIT
 }
--- a/crates/dyketally-gateway/src/store/metered_store.rs
+++ b/crates/dyketally-gateway/src/store/metered_store.rs
@@ -1,7 +1,8 @@
 //! Counts the calls of this process to the store, by kind, and the bytes of keys and values: a store may limit the
 //! rate of calls or charge for them.
 //!
-//! Owns nothing, since the counters are shared. Relies on the client that it wraps.
+//! Each call is passed on unchanged to the client that [`MeteredStore`] wraps. The counts are kept in
+//! [`StoreCalls`], which is shared with the counters of the process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -106,7 +107,7 @@
     async fn watch(&self, request: WatchRequest) -> Result<WatchStream, StoreError> {
         let calls = self.calls.clone();
         let batches = self.inner.watch(request).await?;
-        // The first batch is made by the client itself and is no message from the store.
+        // The first batch isn't counted: the client makes it itself, without a message from the store.
         let counted = batches.enumerate().map(move |(number, batch)| {
             if number > 0 {
                 count(&calls.store_watches);
