--- a/crates/dyketally-gateway/src/database/connection/mod.rs
+++ b/crates/dyketally-gateway/src/database/connection/mod.rs
@@ -94,13 +94,11 @@
                 "it can't be used any more, since an earlier statement that was sent on it is still unanswered",
             ));
         }
-        let (setup, prepared) = self.session.adopt(batch.context.as_ref());
+        // `setup` gives the connection the session context; `name` is its name for the prepared statement.
+        let (setup, name) = self.session.adopt(batch.context.as_ref());
         let answers = match batch.flow {
-            Flow::Together => self.run_together(setup, &batch.steps, &prepared).await?,
-            Flow::UntilFailure => {
-                self.run_sequentially(setup, &batch.steps, &prepared)
-                    .await?
-            }
+            Flow::Together => self.run_together(setup, &batch.steps, &name).await?,
+            Flow::UntilFailure => self.run_sequentially(setup, &batch.steps, &name).await?,
         };
         let failed = answers.iter().any(|answer| answer.end.is_err());
         self.session.reset_if(match batch.reset {
