--- a/crates/dyketally/tests/admission.rs
+++ b/crates/dyketally/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Fair queue: order, bounds, deadlines and slots, case by case.
+//! Unit tests of the fair queue: order of admission, queue limits, deadlines and slots.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Runs everything that waits, one statement at a time, each for `busy` milliseconds.
+/// Runs all queued statements one at a time, each for `busy` milliseconds, and returns their order.
 fn drain(queue: &mut FairQueue<&'static str>, mut now: u64, busy: u64) -> Vec<&'static str> {
     let mut order = Vec::new();
     while let Some(admitted) = queue.next(at(now)) {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn shares_are_of_busy_time_not_of_statements() {
+fn shares_are_measured_in_slot_time_not_in_statements() {
     let mut queue = FairQueue::new(2);
     for _ in 0..1_000 {
         for tenant in ["long", "short"] {
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_statement_that_is_still_running_counts_already() {
+fn running_statements_count_towards_the_share() {
     let mut queue = FairQueue::new(2);
     for _ in 0..50 {
         enqueue(&mut queue, at(0), statement("endless", "endless"));
@@ -133,7 +133,7 @@
 #[rstest]
 #[case::no_statement_ran_meanwhile(0)]
 #[case::a_lone_tenant_ran_for_long(10_000)]
-fn an_idle_tenant_saves_up_no_more_than_stated(#[case] lone_milliseconds: u64) {
+fn an_idle_tenant_saves_up_a_bounded_credit(#[case] lone_milliseconds: u64) {
     let busy = Duration::from_millis(5);
     let mut queue = FairQueue::new(1);
     enqueue(&mut queue, at(0), statement("lone", "lone"));
@@ -145,21 +145,21 @@
         enqueue(&mut queue, now, statement("late", "late"));
     }
     let order = drain(&mut queue, lone_milliseconds, 5);
-    let apart = |served: usize| {
+    let difference = |served: usize| {
         let late = order[..served].iter().filter(|item| **item == "late");
         let late = late.count();
         busy * u32::try_from(late.abs_diff(served - late)).expect("few")
     };
-    let most = SAVED_SLOT_TIME + busy;
+    let max_difference = SAVED_SLOT_TIME + busy;
     assert!(
-        (1..=100).all(|served| apart(served) <= most),
+        (1..=100).all(|served| difference(served) <= max_difference),
         "{:?}",
         &order[..100]
     );
 }
 
 #[test]
-fn a_full_queue_turns_away_with_the_time_to_come_back() {
+fn a_full_queue_rejects_with_a_retry_after() {
     let mut queue = FairQueue::new(0);
     let mut random = StdRng::seed_from_u64(SEED);
     let limited = || Submission {
@@ -180,14 +180,14 @@
 }
 
 #[test]
-fn the_time_to_come_back_follows_the_drain_rate() {
-    let told_after = |busy: u64| {
+fn retry_after_follows_the_drain_rate() {
+    let retry_after_at = |busy: u64| {
         let mut queue = FairQueue::new(1);
         for _ in 0..30 {
             enqueue(&mut queue, at(0), statement("a", "x"));
         }
         for turn in 0..20 {
-            let admitted = queue.next(at(turn * busy)).expect("one waits");
+            let admitted = queue.next(at(turn * busy)).expect("a statement is queued");
             assert!(queue.finished(at((turn + 1) * busy), admitted.ticket));
         }
         let mut random = StdRng::seed_from_u64(SEED);
@@ -198,12 +198,12 @@
         let rejected = queue.enqueue(at(20 * busy), full, &mut random);
         rejected.expect_err("full").retry_after
     };
-    let (fast, slow) = (told_after(2), told_after(20));
+    let (fast, slow) = (retry_after_at(2), retry_after_at(20));
     assert!(slow > fast * 5, "{fast:?} and {slow:?}");
 }
 
 #[test]
-fn a_statement_past_its_deadline_is_given_up_and_never_admitted() {
+fn a_statement_past_its_deadline_expires_and_is_never_admitted() {
     let mut queue = FairQueue::new(1);
     let mut random = StdRng::seed_from_u64(SEED);
     let short = Submission {
@@ -214,7 +214,7 @@
     enqueue(&mut queue, at(0), statement("a", "patient"));
     assert_eq!(queue.latest_start(short), Some(at(10)));
     assert!(queue.expire(at(9), &mut random).is_empty());
-    let admitted = queue.next(at(10)).expect("one may still run");
+    let admitted = queue.next(at(10)).expect("a statement may still run");
     assert_eq!(admitted.item, "patient");
     let expired = queue.expire(at(10), &mut random);
     assert_eq!(expired.len(), 1);
@@ -230,8 +230,8 @@
     assert_eq!(rejected.reason, RejectionReason::DeadlinePassed);
 }
 
-/// A queue whose tenant has run 20 statements of `busy` milliseconds, and the time.
-fn practised(busy: u64) -> (FairQueue<&'static str>, Timestamp) {
+/// A queue whose tenant has run 20 statements of `busy` milliseconds each, and the time at which the last one ended.
+fn queue_with_history(busy: u64) -> (FairQueue<&'static str>, Timestamp) {
     let mut queue = FairQueue::new(1);
     for _ in 0..20 {
         enqueue(&mut queue, at(0), statement("a", "x"));
@@ -241,14 +241,14 @@
 }
 
 #[rstest]
-#[case::time_to_run_is_kept(20, 100, 80)]
-#[case::half_of_the_time_left_may_be_waited(80, 100, 50)]
-fn a_statement_is_given_up_while_it_could_not_end_in_time(
+#[case::service_time_is_reserved(20, 100, 80)]
+#[case::at_most_half_of_the_lifetime_is_reserved(80, 100, 50)]
+fn a_statement_expires_when_it_can_no_longer_finish_in_time(
     #[case] busy: u64,
     #[case] lifetime: u64,
     #[case] waits: u64,
 ) {
-    let (mut queue, now) = practised(busy);
+    let (mut queue, now) = queue_with_history(busy);
     let short = Submission {
         deadline: now + Duration::from_millis(lifetime),
         ..statement("a", "short")
@@ -264,12 +264,12 @@
 #[case::fresh_behind_four(Stage::Fresh, Urgency::Normal, false)]
 #[case::urgent_passes_them(Stage::Fresh, Urgency::Urgent, true)]
 #[case::transactions_always_wait(Stage::Continuation, Urgency::Normal, true)]
-fn a_statement_that_would_wait_too_long_is_turned_away_at_once(
+fn a_statement_that_would_wait_too_long_is_rejected_at_once(
     #[case] stage: Stage,
     #[case] urgency: Urgency,
     #[case] accepted: bool,
 ) {
-    let (mut queue, now) = practised(20);
+    let (mut queue, now) = queue_with_history(20);
     for _ in 0..4 {
         enqueue(&mut queue, now, statement("a", "patient"));
     }
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_statement_that_can_not_run_keeps_its_turn() {
+fn an_ineligible_statement_keeps_its_place() {
     let mut queue = FairQueue::new(2);
     enqueue(&mut queue, at(0), statement("a", "a"));
     enqueue(&mut queue, at(0), statement("b", "b"));
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn a_slot_is_given_back_once() {
+fn a_slot_is_released_once() {
     let mut queue = FairQueue::new(1);
     enqueue(&mut queue, at(0), statement("a", "x"));
     let admitted = queue.next(at(0)).expect("a slot is free");
@@ -329,13 +329,22 @@
 }
 
 #[test]
-fn withdrawn_statements_are_gone() {
+fn withdrawn_statements_leave_the_queue() {
     let mut queue = FairQueue::new(0);
     let first = enqueue(&mut queue, at(0), statement("a", "first"));
     let second = enqueue(&mut queue, at(0), statement("b", "second"));
-    assert_eq!(queue.withdraw(first).expect("it waits").item, "first");
+    assert_eq!(
+        queue.withdraw(first).expect("the statement is queued").item,
+        "first"
+    );
     assert!(queue.withdraw(first).is_none());
-    assert_eq!(queue.withdraw(second).expect("it waits").item, "second");
+    assert_eq!(
+        queue
+            .withdraw(second)
+            .expect("the statement is queued")
+            .item,
+        "second"
+    );
     assert_eq!(queue.queued(), 0);
     queue.retain_tenants(|_| false);
     assert!(queue.status().tenants.is_empty());
--- a/crates/dyketally/tests/admission_model.rs
+++ b/crates/dyketally/tests/admission_model.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of the fair queue against a plain list.
+//! Stateful fuzzing of the fair queue against a model: a plain list of the queued statements.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -31,13 +31,13 @@
     Finish(Index),
     Withdraw(Index),
     Expire,
-    Pass {
+    AdvanceClock {
         milliseconds: u64,
     },
     SetSlots(u32),
 }
 
-/// The steps alone: what follows from them is worked out next to the queue.
+/// The generator of steps. It keeps no state: `Harness` works out the expected results next to the queue.
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -60,7 +60,7 @@
             3 => any::<Index>().prop_map(Step::Finish),
             1 => any::<Index>().prop_map(Step::Withdraw),
             1 => Just(Step::Expire),
-            2 => (0_u64..20).prop_map(|milliseconds| Step::Pass { milliseconds }),
+            2 => (0_u64..20).prop_map(|milliseconds| Step::AdvanceClock { milliseconds }),
             1 => (0_u32..4).prop_map(Step::SetSlots),
         ]
         .boxed()
@@ -72,7 +72,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct Queued {
     ticket: Ticket,
     tenant: usize,
     stage: Stage,
@@ -86,10 +86,10 @@
     random: StdRng,
     now: Timestamp,
     slots: u32,
-    waiting: Vec<Waiting>,
+    waiting: Vec<Queued>,
     running: Vec<Ticket>,
     accepted: u64,
-    left: u64,
+    departed: u64,
 }
 
 fn name(tenant: usize) -> TenantName {
@@ -113,7 +113,7 @@
         match (result, expected) {
             (Ok(ticket), Ok(latest_start)) => {
                 assert_eq!(self.queue.latest_start(ticket), Some(latest_start));
-                self.waiting.push(Waiting {
+                self.waiting.push(Queued {
                     ticket,
                     tenant,
                     stage,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The latest start of a statement that arrives now, or why it is turned away.
+    /// The latest start of a statement that arrives now, or the reason for its rejection.
     fn expected(
         &self,
         tenant: usize,
@@ -163,7 +163,7 @@
 
     fn next(&mut self, blocked: Option<usize>) {
         let runnable =
-            |waiting: &&Waiting| waiting.latest_start > self.now && Some(waiting.tenant) != blocked;
+            |waiting: &&Queued| waiting.latest_start > self.now && Some(waiting.tenant) != blocked;
         let free = self.running.len() < self.slots as usize;
         let one_can_run = free && self.waiting.iter().any(|waiting| runnable(&waiting));
         let blocked_name = blocked.map(name);
@@ -180,7 +180,7 @@
             .expect("the tenant has a statement that can run");
         assert_eq!(first.ticket, admitted.ticket);
         assert_eq!(first.number, admitted.item);
-        self.forget(admitted.ticket);
+        self.remove_queued(admitted.ticket);
         self.running.push(admitted.ticket);
         assert!(self.running.len() <= self.slots as usize);
     }
@@ -194,15 +194,16 @@
         assert_eq!(late.count(), expired.len());
         for expired in expired {
             check_retry_after(expired.retry_after);
-            let latest_start = self.forget(expired.ticket).latest_start;
+            let latest_start = self.remove_queued(expired.ticket).latest_start;
             assert!(latest_start <= self.now);
         }
     }
 
-    fn forget(&mut self, ticket: Ticket) -> Waiting {
+    fn remove_queued(&mut self, ticket: Ticket) -> Queued {
         let index = self.waiting.iter().position(|it| it.ticket == ticket);
-        self.left += 1;
-        self.waiting.remove(index.expect("it waits, and left once"))
+        self.departed += 1;
+        self.waiting
+            .remove(index.expect("a queued statement leaves the queue once"))
     }
 }
 
@@ -226,7 +227,7 @@
             waiting: Vec::new(),
             running: Vec::new(),
             accepted: 0,
-            left: 0,
+            departed: 0,
         }
     }
 
@@ -249,12 +250,15 @@
             Step::Withdraw(_) if harness.waiting.is_empty() => {}
             Step::Withdraw(index) => {
                 let ticket = harness.waiting[index.index(harness.waiting.len())].ticket;
-                let withdrawn = harness.queue.withdraw(ticket).expect("it waits");
-                assert_eq!(harness.forget(ticket).number, withdrawn.item);
+                let withdrawn = harness
+                    .queue
+                    .withdraw(ticket)
+                    .expect("the statement is queued");
+                assert_eq!(harness.remove_queued(ticket).number, withdrawn.item);
                 assert!(harness.queue.withdraw(ticket).is_none());
             }
             Step::Expire => harness.expire(),
-            Step::Pass { milliseconds } => {
+            Step::AdvanceClock { milliseconds } => {
                 harness.now = harness.now + Duration::from_millis(milliseconds);
             }
             Step::SetSlots(slots) => {
@@ -271,23 +275,23 @@
         assert_eq!(queue.running(), harness.running.len());
         assert_eq!(
             harness.accepted,
-            harness.left + harness.waiting.len() as u64
+            harness.departed + harness.waiting.len() as u64
         );
         for waiting in &harness.waiting {
             let latest_start = queue.latest_start(waiting.ticket);
             assert_eq!(latest_start, Some(waiting.latest_start));
         }
-        let fresh = |waiting: &&Waiting| waiting.stage == Stage::Fresh;
+        let fresh = |waiting: &&Queued| waiting.stage == Stage::Fresh;
         assert_eq!(
             queue.queued_fresh(),
             harness.waiting.iter().filter(fresh).count()
         );
         for (tenant, status) in queue.status().tenants {
-            let own = |waiting: &&Waiting| name(waiting.tenant) == tenant;
+            let own = |waiting: &&Queued| name(waiting.tenant) == tenant;
             assert_eq!(status.queued, harness.waiting.iter().filter(own).count());
             let counted = status.counters;
-            let left = counted.admitted + counted.expired + counted.withdrawn;
-            assert_eq!(counted.enqueued, left + status.queued as u64);
+            let departed = counted.admitted + counted.expired + counted.withdrawn;
+            assert_eq!(counted.enqueued, departed + status.queued as u64);
             assert_eq!(counted.admitted, counted.finished + status.running as u64);
         }
     }
--- a/crates/dyketally/tests/capacity.rs
+++ b/crates/dyketally/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! What a node can hold.
+//! How many sessions and how much input a node accepts for its file descriptors and memory.
 
 use dyketally::capacity::{Capacity, SessionVerdict};
 use rstest::rstest;
@@ -14,11 +14,11 @@
 #[case::first(4_300, 0, SessionVerdict::Serve)]
 #[case::last_that_fits(4_300, 3_659, SessionVerdict::Serve)]
 #[case::one_too_many(4_300, 3_660, SessionVerdict::Refuse)]
-#[case::last_that_is_told(4_300, 3_787, SessionVerdict::Refuse)]
-#[case::no_room_to_refuse(4_300, 3_788, SessionVerdict::Close)]
-#[case::hardly_any_descriptors(100, 15, SessionVerdict::Serve)]
-#[case::hardly_any_are_used_up(100, 16, SessionVerdict::Refuse)]
-fn sessions_leave_descriptors_for_the_rest(
+#[case::last_that_gets_an_answer(4_300, 3_787, SessionVerdict::Refuse)]
+#[case::no_descriptor_left_to_answer(4_300, 3_788, SessionVerdict::Close)]
+#[case::few_descriptors(100, 15, SessionVerdict::Serve)]
+#[case::few_descriptors_used_up(100, 16, SessionVerdict::Refuse)]
+fn sessions_leave_descriptors_for_other_uses(
     #[case] descriptors: u32,
     #[case] open: u32,
     #[case] expected: SessionVerdict,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_node_without_limits_serves_all() {
+fn a_node_without_limits_accepts_all_sessions() {
     let unlimited = Capacity::default();
     assert_eq!(unlimited.judge(u32::MAX), SessionVerdict::Serve);
     assert!(!unlimited.is_full(u32::MAX, false));
@@ -38,8 +38,12 @@
 #[case::not_yet(3_659, false, false)]
 #[case::full(3_660, false, true)]
 #[case::stays_full(3_400, true, true)]
-#[case::has_room_again(3_294, true, false)]
-fn a_full_node_waits_for_room(#[case] open: u32, #[case] was_full: bool, #[case] expected: bool) {
+#[case::is_no_longer_full(3_294, true, false)]
+fn a_full_node_accepts_again_at_nine_tenths(
+    #[case] open: u32,
+    #[case] was_full: bool,
+    #[case] expected: bool,
+) {
     assert_eq!(with_descriptors(4_300).is_full(open, was_full), expected);
 }
 
--- a/crates/dyketally/tests/classify.rs
+++ b/crates/dyketally/tests/classify.rs
@@ -1,4 +1,4 @@
-//! Which rule treats a statement.
+//! Which of a tenant's rules a statement matches.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use dyketally::template::{StatementText, classify};
 use rstest::rstest;
 
-/// Rules whose deadlines, in seconds, tell them apart.
+/// Five rules, distinguished by their deadlines of 1 s to 5 s.
 fn rules() -> Vec<StatementRule> {
     let matchers = [
         StatementMatcher::Prefix("INSERT INTO orders".to_owned()),
@@ -48,7 +48,7 @@
 #[case::comment("/* dyketally:report */ SELECT 1", None, Some(2))]
 #[case::comment_without_spaces("/*dyketally:report*/SELECT 1", None, Some(2))]
 #[case::other_comment("/* dyketally:reports */ SELECT 1", None, None)]
-#[case::comment_of_another("/* report */ SELECT 1", None, None)]
+#[case::comment_without_marker("/* report */ SELECT 1", None, None)]
 #[case::comment_not_first("SELECT 1 /* dyketally:report */", None, None)]
 #[case::comment_without_end("/* dyketally:report", None, None)]
 #[case::prepared_name("SELECT 1", Some("lookup"), Some(3))]
--- a/crates/dyketally/tests/delta.rs
+++ b/crates/dyketally/tests/delta.rs
@@ -1,4 +1,4 @@
-//! Differences between versions of documents.
+//! Differences (deltas) between two versions of a document.
 
 use dyketally::delta::Delta;
 use proptest::prelude::*;
@@ -44,13 +44,13 @@
 
 proptest! {
     #[test]
-    fn the_newer_version_comes_out(old in text(), new in text()) {
+    fn applying_a_difference_gives_the_newer_version(old in text(), new in text()) {
         let delta = Delta::between(&old, &new).expect("a difference");
         prop_assert_eq!(delta.apply(&old), Some(new));
     }
 
     #[test]
-    fn nothing_panics_on_another_version(old in text(), new in text(), other in text()) {
+    fn applying_to_another_version_never_panics(old in text(), new in text(), other in text()) {
         let delta = Delta::between(&old, &new).expect("a difference");
         let _ = delta.apply(&other);
     }
--- a/crates/dyketally/tests/directory.rs
+++ b/crates/dyketally/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The databases of each group as they announce themselves.
+//! The directory of each group's databases, built from their announcements.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_database_that_took_the_role_last_leads() {
+fn the_latest_announced_primary_leads() {
     let mut directory = with(&[("a", Role::Primary), ("b", Role::Replica)]);
     assert_eq!(primary_of(&directory), Some("a".into()));
     let change = directory.announced(at(1), announcement("b", Role::Primary, true));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_refusal_unseats_a_primary_until_it_acts_as_one_again() {
+fn a_refused_primary_does_not_lead_until_it_acts_as_primary_again() {
     let mut directory = with(&[("a", Role::Primary), ("b", Role::Replica)]);
     directory.refused_as_primary(&"a".into());
     assert_eq!(primary_of(&directory), None);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_draining_database_is_told_once() {
+fn a_draining_database_is_reported_once() {
     let mut directory = with(&[("a", Role::Primary)]);
     let draining = announcement("a", Role::Primary, false);
     let change = directory.announced(at(5), draining.clone());
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_vanished_announcement_counts_only_after_the_grace() {
+fn an_unlisted_database_is_gone_only_after_the_grace_period() {
     let mut directory = with(&[("a", Role::Primary)]);
     directory.vanished(at(10), &"a".into());
     assert_eq!(directory.settle_unlisted(at(9)), Vec::new());
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_database_that_announces_itself_again_never_left() {
+fn a_database_that_announces_itself_in_time_stays_listed() {
     let mut directory = with(&[("a", Role::Primary), ("b", Role::Replica)]);
     let changes = directory.replaced(at(10), vec![announcement("b", Role::Replica, true)]);
     assert_eq!(changes, Vec::new());
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn databases_that_are_gone_are_forgotten_in_the_end() {
+fn gone_databases_are_forgotten_eventually() {
     let mut directory = with(&[("a", Role::Replica)]);
     directory.vanished(at(10), &"a".into());
     directory.settle_unlisted(at(10));
--- a/crates/dyketally/tests/document_garbage.rs
+++ b/crates/dyketally/tests/document_garbage.rs
@@ -1,4 +1,4 @@
-//! Whatever operators write, reading it ends with a result or with faults.
+//! Fuzzing of the operators' documents: any text resolves to a policy or to a list of faults, without a panic.
 
 use dyketally::policy::{
     Access, Repeat, StatementMatcher, StatementPolicy, StatementRule, Urgency,
@@ -10,7 +10,7 @@
 const TEMPLATE: &str = include_str!("../../../examples/templates/lobby.toml");
 const TENANT: &str = include_str!("../../../examples/tenants/racers-erie.toml");
 
-/// The text with a part cut out and another put in its place.
+/// `text` with fewer than 40 characters cut out and a random text inserted in their place.
 fn mutated(text: &'static str) -> impl Strategy<Value = String> {
     let boundaries: Vec<usize> = text.char_indices().map(|(index, _)| index).collect();
     let cut = prop::sample::select(boundaries.clone());
@@ -28,20 +28,20 @@
 
 proptest! {
     #[test]
-    fn resolving_mutated_documents_ends(
+    fn resolving_mutated_documents_never_panics(
         group in mutated(GROUP),
         template in mutated(TEMPLATE),
         tenant in mutated(TENANT),
         which in 0..8_u8,
     ) {
-        let pick = |bit: u8, mutated: String, sound: &str| match which & bit {
+        let mutated_or_valid = |bit: u8, mutated: String, valid: &str| match which & bit {
             0 => mutated,
-            _ => sound.to_owned(),
+            _ => valid.to_owned(),
         };
         let mut documents = Documents::default();
-        documents.groups.insert("lobby-1".to_owned(), pick(1, group, GROUP));
-        documents.templates.insert("lobby".to_owned(), pick(2, template, TEMPLATE));
-        documents.tenants.insert("racers-erie".to_owned(), pick(4, tenant, TENANT));
+        documents.groups.insert("lobby-1".to_owned(), mutated_or_valid(1, group, GROUP));
+        documents.templates.insert("lobby".to_owned(), mutated_or_valid(2, template, TEMPLATE));
+        documents.tenants.insert("racers-erie".to_owned(), mutated_or_valid(4, tenant, TENANT));
         match resolve(&documents) {
             Ok(policy) => prop_assert_eq!(policy.tenants.len(), 1),
             Err(faults) => prop_assert!(!faults.is_empty()),
@@ -49,7 +49,7 @@
     }
 
     /// A statement that begins with the rule's words, in any letter case and spacing, is matched;
-    /// one with a letter more is not.
+    /// one whose last word continues with another letter is not.
     #[test]
     fn prefixes_match_at_the_boundary_of_a_name(
         words in prop::collection::vec("[A-Za-z_é]{1,6}", 1..4),
--- a/crates/dyketally/tests/drain.rs
+++ b/crates/dyketally/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Planned stop of a node, case by case.
+//! Planned stop of a node: its phases, actions and deadline.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_node_without_work_stops_once_peers_know() {
+fn an_idle_node_stops_once_peers_are_informed() {
     let mut drain = stopping();
     assert!(drain.accepts_new_work());
     drain.peers_informed();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn silent_peers_don_t_hold_a_stop_up() {
+fn silent_peers_delay_a_stop_by_the_announce_wait_at_most() {
     let mut drain = stopping();
     assert_eq!(drain.next_wakeup(), Some(at(100)));
     assert!(drain.poll(at(99)).is_empty());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn work_in_flight_ends_before_the_exit() {
+fn requests_in_flight_end_before_the_exit() {
     let mut drain = NodeDrain::new(SETTINGS);
     drain.begin("caller");
     drain.begin("order");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn idle_callers_are_closed_after_a_while() {
+fn idle_callers_are_closed_after_their_wait() {
     let mut drain = NodeDrain::<&str>::new(SETTINGS);
     drain.begin("caller");
     drain.stop(at(0));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_deadline_names_what_was_cut() {
+fn the_deadline_names_the_requests_that_are_cut_off() {
     let mut drain = NodeDrain::new(SETTINGS);
     drain.begin("slow");
     drain.stop(at(0));
--- a/crates/dyketally/tests/eligibility.rs
+++ b/crates/dyketally/tests/eligibility.rs
@@ -1,4 +1,4 @@
-//! Whether a statement may run at a database, case by case.
+//! Whether a statement may run at a database, which region a primary should be in, and evacuations of zones.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     Some(Duration::from_secs_f64(seconds))
 }
 
-/// How a database of the region "north" stands.
+/// The condition of a database in the region "north".
 #[derive(Clone, Debug, Default)]
 struct State {
     fenced: bool,
@@ -52,7 +52,7 @@
     }
 }
 
-fn judged(intent: &Intent, region: &RegionName, state: &State) -> Result<(), Denial> {
+fn eligibility_of(intent: &Intent, region: &RegionName, state: &State) -> Result<(), Denial> {
     let database = DatabaseName::from("orders-1");
     let standing = Standing {
         database: &database,
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_database_gets_what_nothing_stands_against() {
+fn statements_are_denied_by_the_condition_of_the_database() {
     let fenced = State {
         fenced: true,
         ..State::default()
@@ -89,34 +89,44 @@
     let cases: [(&str, Intent, State, Result<(), Denial>); 18] = [
         ("a read", read(), State::default(), Ok(())),
         ("a write", write(), State::default(), Ok(())),
-        ("a read at a fenced one", read(), fenced.clone(), Ok(())),
         (
-            "a write at a fenced one",
+            "a read at a fenced database",
+            read(),
+            fenced.clone(),
+            Ok(()),
+        ),
+        (
+            "a write at a fenced database",
             write(),
             fenced.clone(),
             Err(Denial::BeingReplaced),
         ),
         (
-            "an open transaction at a fenced one",
+            "an open transaction at a fenced database",
             further.clone(),
             fenced,
             Ok(()),
         ),
         (
-            "a read at one that leaves",
+            "a read at a leaving database",
             read(),
             leaving(0.0),
             Err(Denial::Leaving),
         ),
-        ("a write at one that leaves", write(), leaving(5.9), Ok(())),
         (
-            "a write at one that leaves for long",
+            "a write at a leaving database",
+            write(),
+            leaving(5.9),
+            Ok(()),
+        ),
+        (
+            "a write at a database that has been leaving for long",
             write(),
             leaving(6.0),
             Err(Denial::Leaving),
         ),
         (
-            "an open transaction at one that leaves",
+            "an open transaction at a leaving database",
             further.clone(),
             leaving(60.0),
             Ok(()),
@@ -134,43 +144,43 @@
             Ok(()),
         ),
         (
-            "a late write there",
+            "a late write in an evacuated zone",
             write(),
             evacuated(1.75),
             Err(Denial::Evacuated),
         ),
         (
-            "a write there without a successor",
+            "a write in an evacuated zone without a successor",
             write(),
             alone.clone(),
             Err(Denial::EvacuatedEverywhere),
         ),
         (
-            "a read there without a successor",
+            "a read in an evacuated zone without a successor",
             read(),
             alone,
             Err(Denial::EvacuatedEverywhere),
         ),
         (
-            "an open transaction there",
+            "an open transaction in an evacuated zone",
             further.clone(),
             evacuated(2.49),
             Ok(()),
         ),
         (
-            "a late one there",
+            "a late statement of a transaction in an evacuated zone",
             further.clone(),
             evacuated(2.5),
             Err(Denial::Evacuated),
         ),
         (
-            "a read that is open there",
+            "a late read of a transaction in an evacuated zone",
             Intent::further(false),
             evacuated(2.5),
             Err(Denial::Evacuated),
         ),
         (
-            "a write there since nobody knows when",
+            "a write in a zone evacuated for an unknown time",
             write(),
             State {
                 evacuated_for: Some(Duration::MAX),
@@ -181,7 +191,7 @@
     ];
     for (name, intent, state, expected) in cases {
         assert_eq!(
-            judged(&intent, &region("north"), &state),
+            eligibility_of(&intent, &region("north"), &state),
             expected,
             "{name}"
         );
@@ -189,7 +199,7 @@
 }
 
 #[test]
-fn route_and_tenant_both_bind() {
+fn regions_of_route_and_tenant_both_apply() {
     let cases: [(&str, ServingRegions, ServingRegions, bool); 7] = [
         (
             "neither",
@@ -243,7 +253,7 @@
             };
             let here = region("north");
             assert_eq!(
-                judged(&intent, &here, &State::default()),
+                eligibility_of(&intent, &here, &State::default()),
                 expected,
                 "{name}"
             );
@@ -253,7 +263,7 @@
 }
 
 #[test]
-fn regions_are_told_for_operators() {
+fn regions_are_displayed_for_operators() {
     assert_eq!(ServingRegions::anywhere().to_string(), "anywhere");
     assert_eq!(only(&["south", "north"]).to_string(), "north, south");
     assert_eq!(
@@ -263,7 +273,7 @@
 }
 
 #[test]
-fn only_what_waiting_does_not_help_is_lasting() {
+fn denials_that_waiting_does_not_end_are_lasting() {
     let lasting = [Denial::OutsideRegions, Denial::EvacuatedEverywhere];
     let passing = [
         Denial::Leaderless,
@@ -286,14 +296,14 @@
 }
 
 #[test]
-fn a_primary_moves_only_to_where_much_more_is_served() {
+fn a_primary_moves_only_to_a_region_that_serves_much_more() {
     let all: Vec<RegionName> = REGIONS.iter().map(|name| region(name)).collect();
     let anywhere = demand(ServingRegions::anywhere(), 1.0);
     let cases: [(&str, Vec<Demand>, Option<&str>); 6] = [
-        ("nothing asks", vec![], None),
+        ("no demand", vec![], None),
         ("all regions serve", vec![anywhere.clone()], None),
         (
-            "none serves here",
+            "no demand in the current region",
             vec![demand(only(&["west"]), 0.1)],
             Some("west"),
         ),
@@ -308,7 +318,7 @@
             Some("south"),
         ),
         (
-            "the first by name of equals",
+            "of equal regions the first by name",
             vec![demand(only(&["west", "south"]), 1.0)],
             Some("south"),
         ),
@@ -334,7 +344,7 @@
 }
 
 #[test]
-fn a_successor_is_chosen_where_it_may_stay() {
+fn a_successor_is_chosen_in_a_region_where_it_may_stay() {
     let all: Vec<RegionName> = REGIONS.iter().map(|name| region(name)).collect();
     let demands = [
         demand(only(&["north", "south"]), 2.0),
@@ -375,7 +385,7 @@
 }
 
 #[test]
-fn an_evacuation_that_stood_already_may_be_old() {
+fn an_evacuation_already_in_force_is_of_unknown_age() {
     let mut evacuations = Evacuations::default();
     let (east, west) = (ZoneName::from("east"), ZoneName::from("west"));
     evacuations.requested(at(1_000), east.clone());
@@ -397,7 +407,7 @@
     };
     for intent in [read(), write(), Intent::further(true)] {
         assert_eq!(
-            judged(&intent, &region("north"), &state),
+            eligibility_of(&intent, &region("north"), &state),
             Err(Denial::Evacuated)
         );
     }
--- a/crates/dyketally/tests/eligibility_model.rs
+++ b/crates/dyketally/tests/eligibility_model.rs
@@ -1,5 +1,5 @@
-//! Whatever the configuration, the places and the state: nothing is permitted that breaks a place or a
-//! bound, and each check that is left out is noticed.
+//! Property tests of eligibility: whatever the regions of route and tenant and the condition of the database, no
+//! statement is permitted that violates a region or a time bound. An implementation that leaves out a check is noticed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     RegionName::from(name)
 }
 
-/// How a database stands.
+/// The condition of a database.
 #[derive(Clone, Debug, Default)]
 struct State {
     fenced: bool,
@@ -34,7 +34,7 @@
     has_successor: bool,
 }
 
-fn judged(intent: &Intent, region: &RegionName, state: &State) -> Result<(), Denial> {
+fn eligibility_of(intent: &Intent, region: &RegionName, state: &State) -> Result<(), Denial> {
     let database = DatabaseName::from("orders-1");
     let standing = Standing {
         database: &database,
@@ -49,9 +49,9 @@
     Ok(())
 }
 
-/// A sending of which it is asked whether it is permitted.
+/// An attempt to send a statement to a database, which eligibility permits or denies.
 #[derive(Clone, Debug)]
-struct Sending {
+struct Attempt {
     route: Option<BTreeSet<usize>>,
     tenant: Option<BTreeSet<usize>>,
     region: usize,
@@ -60,7 +60,7 @@
     state: State,
 }
 
-impl Sending {
+impl Attempt {
     fn intent(&self) -> Intent {
         let regions = |of: &Option<BTreeSet<usize>>| match of {
             Some(some) => ServingRegions::only(some.iter().map(|index| region(REGIONS[*index]))),
@@ -76,37 +76,37 @@
     }
 
     fn is_permitted(&self) -> bool {
-        judged(&self.intent(), &region(REGIONS[self.region]), &self.state).is_ok()
+        eligibility_of(&self.intent(), &region(REGIONS[self.region]), &self.state).is_ok()
     }
 
-    /// What a sending would break, each by the bound that it has from outside.
-    fn breaks(&self) -> BTreeSet<Check> {
+    /// The checks that the attempt violates, by the bounds in `BOUNDS`.
+    fn violated_checks(&self) -> BTreeSet<Check> {
         let excludes = |regions: &Option<BTreeSet<usize>>| {
             regions
                 .as_ref()
                 .is_some_and(|it| !it.contains(&self.region))
         };
         let is_over = |time: Option<Duration>, bound| time.is_some_and(|time| time >= bound);
-        let mut broken = BTreeSet::new();
+        let mut violated = BTreeSet::new();
         if self.begins && excludes(&self.route) {
-            broken.insert(Check::Route);
+            violated.insert(Check::Route);
         }
         if self.begins && excludes(&self.tenant) {
-            broken.insert(Check::Tenant);
+            violated.insert(Check::Tenant);
         }
         if self.begins && self.needs_leader && self.state.fenced {
-            broken.insert(Check::Fence);
+            violated.insert(Check::Fence);
         }
         if self.begins && is_over(self.state.leaving_for, BOUNDS.drain) {
-            broken.insert(Check::Drain);
+            violated.insert(Check::Drain);
         }
         if is_over(self.state.evacuated_for, BOUNDS.evacuation) {
-            broken.insert(Check::Evacuation);
+            violated.insert(Check::Evacuation);
         }
-        broken
+        violated
     }
 
-    /// The sending as it looks to a judge that leaves out a check.
+    /// The attempt as seen by an implementation that leaves out `check`.
     fn without(&self, check: Check) -> Self {
         let mut seen = self.clone();
         match check {
@@ -158,15 +158,15 @@
 }
 
 prop_compose! {
-    fn sending()(
+    fn attempt()(
         route in some_regions(),
         tenant in some_regions(),
         region in 0..REGIONS.len(),
         needs_leader in any::<bool>(),
         begins in any::<bool>(),
         state in some_state(),
-    ) -> Sending {
-        Sending { route, tenant, region, needs_leader, begins, state }
+    ) -> Attempt {
+        Attempt { route, tenant, region, needs_leader, begins, state }
     }
 }
 
@@ -174,28 +174,28 @@
     #![proptest_config(Config::with_cases(4_096))]
 
     #[test]
-    fn nothing_is_permitted_that_breaks_a_place_or_a_bound(sending in sending()) {
-        prop_assert!(!sending.is_permitted() || sending.breaks().is_empty());
+    fn no_permitted_attempt_violates_a_region_or_a_bound(attempt in attempt()) {
+        prop_assert!(!attempt.is_permitted() || attempt.violated_checks().is_empty());
     }
 
     #[test]
-    fn a_region_alone_denies_nothing_that_it_serves(sending in sending()) {
-        let mut sending = sending;
-        sending.state = State::default();
-        prop_assert_eq!(sending.is_permitted(), sending.breaks().is_empty());
+    fn without_faults_only_regions_deny(attempt in attempt()) {
+        let mut attempt = attempt;
+        attempt.state = State::default();
+        prop_assert_eq!(attempt.is_permitted(), attempt.violated_checks().is_empty());
     }
 
     #[test]
-    fn what_is_denied_stays_denied_as_time_goes_on(sending in sending(), later in 0_u64..5_000) {
-        let mut then = sending.clone();
+    fn a_denied_attempt_stays_denied_as_time_passes(attempt in attempt(), later in 0_u64..5_000) {
+        let mut then = attempt.clone();
         let later = Duration::from_millis(later);
-        then.state.leaving_for = sending.state.leaving_for.map(|time| time + later);
-        then.state.evacuated_for = sending.state.evacuated_for.map(|time| time + later);
-        prop_assert!(sending.is_permitted() || !then.is_permitted());
+        then.state.leaving_for = attempt.state.leaving_for.map(|time| time + later);
+        then.state.evacuated_for = attempt.state.evacuated_for.map(|time| time + later);
+        prop_assert!(attempt.is_permitted() || !then.is_permitted());
     }
 
     #[test]
-    fn a_primary_that_moved_stays(
+    fn a_primary_that_moved_is_not_moved_again(
         demands in proptest::collection::vec((some_regions(), 0.1_f64..100.0), 0..12),
         from in 0..REGIONS.len(),
     ) {
@@ -221,17 +221,17 @@
 #[test]
 fn a_check_that_is_left_out_is_noticed() {
     let mut runner = TestRunner::deterministic();
-    let sendings: Vec<Sending> = (0..4_096)
+    let attempts: Vec<Attempt> = (0..4_096)
         .map(|_| {
-            sending()
+            attempt()
                 .new_tree(&mut runner)
-                .expect("a sending")
+                .expect("an attempt")
                 .current()
         })
         .collect();
     for check in CHECKS {
-        let noticed = sendings.iter().filter(|sending| {
-            sending.without(check).is_permitted() && sending.breaks().contains(&check)
+        let noticed = attempts.iter().filter(|attempt| {
+            attempt.without(check).is_permitted() && attempt.violated_checks().contains(&check)
         });
         assert!(noticed.count() > 0, "{check:?}");
     }
--- a/crates/dyketally/tests/failover.rs
+++ b/crates/dyketally/tests/failover.rs
@@ -1,4 +1,5 @@
-//! Decisions of a failover, case by case.
+//! Decisions of a failover: polls about a primary, choice of a successor, fences, and the contact by which nodes trust
+//! a primary.
 
 use dyketally::failover::{
     Appointments, Candidate, Contact, Evidence, FenceId, FenceRound, FenceVerdict, Fences,
@@ -22,7 +23,7 @@
 #[rstest]
 #[case::one_node_reaches_it(poll(3, &[Refused, Refused, Answered]), Verdict::Alive)]
 #[case::all_are_refused(poll(3, &[Refused, Refused, Refused]), Verdict::Lost)]
-#[case::all_hear_nothing(poll(3, &[Silent, Silent, Silent]), Verdict::Lost)]
+#[case::all_get_no_answer(poll(3, &[Silent, Silent, Silent]), Verdict::Lost)]
 #[case::votes_are_missing(poll(3, &[Refused, Refused]), Verdict::Undecided)]
 #[case::half_agree_and_the_rest_is_late(
     PollResult { complete: true, ..poll(4, &[Refused, Silent]) }, Verdict::Lost)]
@@ -36,10 +37,10 @@
 #[case::the_lease_ended_and_others_reach_the_store(
     PollResult { lease_runs: false, store_lost: 1, ..poll(3, &[Silent, Silent, Silent]) },
     Verdict::Undecided)]
-#[case::the_lease_ended_and_nobody_reaches_the_store(
+#[case::the_lease_ended_and_no_node_reaches_the_store(
     PollResult { lease_runs: false, store_lost: 3, ..poll(3, &[Silent, Silent, Silent]) },
     Verdict::Lost)]
-fn the_evidence_settles_it(#[case] poll: PollResult, #[case] verdict: Verdict) {
+fn the_poll_decides_whether_a_primary_is_lost(#[case] poll: PollResult, #[case] verdict: Verdict) {
     assert_eq!(judge(&poll), verdict);
 }
 
@@ -70,26 +71,26 @@
 #[case::the_nearer_of_equal_logs(
     vec![candidate("a", Some((1, 7)), true, 2), candidate("b", Some((1, 7)), true, 0)],
     2, 0, promote("b"))]
-#[case::one_that_leaves_is_passed_over(
+#[case::a_leaving_replica_is_excluded(
     vec![candidate("a", Some((1, 9)), false, 0), candidate("b", Some((1, 7)), true, 0)],
     2, 0, promote("b"))]
-#[case::one_that_is_silent_is_passed_over(
+#[case::a_silent_replica_is_excluded(
     vec![candidate("a", None, true, 0), candidate("b", Some((1, 7)), true, 0)],
     2, 0, promote("b"))]
-#[case::nobody_is_ready(
+#[case::no_replica_is_ready(
     vec![candidate("a", Some((1, 9)), false, 0)], 1, 0, Succession::NoCandidate)]
-#[case::nobody_answers(
+#[case::no_replica_answers(
     vec![candidate("a", None, true, 0)], 1, 0, Succession::TooFewLogs { known: 0, needed: 1 })]
 #[case::an_acknowledged_commit_could_be_on_the_silent_replica(
     vec![candidate("a", None, true, 0), candidate("b", Some((1, 7)), true, 0)],
     2, 1, Succession::TooFewLogs { known: 1, needed: 2 })]
-#[case::with_acknowledgement_only_the_longest_log_will_do(
+#[case::with_acknowledgement_the_longest_log_is_needed(
     vec![candidate("a", Some((1, 9)), false, 0), candidate("b", Some((1, 7)), true, 0)],
     2, 1, promote("a"))]
 #[case::with_two_acknowledging_one_of_two_logs_is_enough(
     vec![candidate("a", None, true, 0), candidate("b", Some((1, 7)), true, 0)],
     2, 2, promote("b"))]
-fn the_successor_holds_what_was_acknowledged(
+fn the_successor_holds_acknowledged_commits(
     #[case] candidates: Vec<Candidate>,
     #[case] replicas: usize,
     #[case] acknowledging: usize,
@@ -103,7 +104,7 @@
     Timestamp::from_millis(milliseconds)
 }
 
-/// A fence among five nodes, asked for at 0, that `confirmed` nodes have confirmed at 10 ms.
+/// A fence round among five nodes, begun at 0 ms, which `confirmed` nodes have confirmed at 10 ms.
 fn fence(confirmed: usize) -> FenceRound {
     let mut round = FenceRound::new(at(0), 5);
     for _ in 0..confirmed {
@@ -115,7 +116,7 @@
 #[rstest]
 #[case::all_confirm(fence(5), 10, FenceVerdict::Closed)]
 #[case::one_is_silent(fence(4), 3_000, FenceVerdict::Open)]
-#[case::the_store_is_never_told(fence(4), 4_000, FenceVerdict::NoQuorum)]
+#[case::the_store_never_publishes_it(fence(4), 4_000, FenceVerdict::NoQuorum)]
 #[case::too_few_confirm(fence(2), 4_000, FenceVerdict::NoQuorum)]
 fn a_fence_that_is_not_published(
     #[case] round: FenceRound,
@@ -126,10 +127,10 @@
 }
 
 #[rstest]
-#[case::silent_nodes_may_be_in_touch(0, 659, FenceVerdict::Open)]
+#[case::silent_nodes_may_be_in_contact(0, 659, FenceVerdict::Open)]
 #[case::silent_nodes_are_isolated(0, 660, FenceVerdict::Closed)]
 #[case::the_only_silent_node_is_isolated_already(1, 200, FenceVerdict::Closed)]
-fn a_fence_that_the_store_tells_of(
+fn a_fence_published_in_the_store(
     #[case] lapsed: usize,
     #[case] now: u64,
     #[case] verdict: FenceVerdict,
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn a_former_holder_that_is_silent_beside_another_node_changes_nothing() {
+fn a_silent_former_holder_beside_another_silent_node_changes_nothing() {
     let mut round = fence(3);
     round.published(at(200));
     round.lapsed(1);
@@ -149,10 +150,10 @@
 }
 
 #[rstest]
-#[case::silent_nodes_may_be_in_touch(fence(4), 3_900, FenceVerdict::Open)]
+#[case::silent_nodes_may_be_in_contact(fence(4), 3_900, FenceVerdict::Open)]
 #[case::silent_nodes_are_never_isolated(fence(4), 4_000, FenceVerdict::NoQuorum)]
 #[case::all_confirm(fence(5), 660, FenceVerdict::Closed)]
-fn a_fence_whose_holder_may_have_lost_the_duty(
+fn a_fence_whose_owner_may_have_lost_the_duty(
     #[case] mut round: FenceRound,
     #[case] now: u64,
     #[case] verdict: FenceVerdict,
@@ -164,11 +165,11 @@
 }
 
 #[rstest]
-#[case::of_a_grant(500, None, 799, true)]
-#[case::of_a_grant_that_ended(500, None, 1_000, false)]
-#[case::of_other_nodes(100, Some(700), 1_100, true)]
-#[case::of_other_nodes_that_ended(100, Some(700), 1_200, false)]
-fn a_primary_is_trusted_by_the_short_contact(
+#[case::by_a_grant(500, None, 799, true)]
+#[case::by_a_grant_that_ended(500, None, 1_000, false)]
+#[case::by_other_nodes(100, Some(700), 1_100, true)]
+#[case::by_other_nodes_that_ended(100, Some(700), 1_200, false)]
+fn the_short_contact_ends_before_the_long_one(
     #[case] granted: u64,
     #[case] majority: Option<u64>,
     #[case] now: u64,
@@ -192,10 +193,10 @@
 }
 
 #[rstest]
-#[case::grants_come(2_300, None, 2_400)]
-#[case::no_grant_comes(1_000, None, 1_250)]
-#[case::no_grant_comes_and_nodes_were_asked(1_000, Some(1_200), 1_400)]
-fn other_nodes_are_asked_when_grants_stay_away(
+#[case::grants_arrive(2_300, None, 2_400)]
+#[case::no_grant_arrives(1_000, None, 1_250)]
+#[case::no_grant_arrives_and_nodes_were_polled(1_000, Some(1_200), 1_400)]
+fn other_nodes_are_polled_when_grants_stop(
     #[case] granted: u64,
     #[case] asked: Option<u64>,
     #[case] due: u64,
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn a_node_that_gives_back_its_leases_counts_only_other_nodes() {
+fn a_node_that_returns_its_leases_relies_on_other_nodes_alone() {
     let mut contact = Contact::default();
     contact.store_replied(at(10_000));
     contact.granted(at(10_000));
@@ -224,7 +225,7 @@
     assert_eq!(contact.ask_nodes_at(None), Some(at(2_300)));
 }
 
-/// A node's fence around "a" that was put up at 1,000 ms.
+/// The fences of a node that set a fence for database "a" at 1,000 ms.
 fn fenced() -> Fences {
     let mut fences = Fences::default();
     fences.put_up(at(1_000), "a".into(), ROUND);
@@ -234,7 +235,7 @@
 const ROUND: FenceId = FenceId(7);
 const LATER_ROUND: FenceId = FenceId(8);
 
-fn heard(id: FenceId, age_ms: u64) -> StandingFence {
+fn reported(id: FenceId, age_ms: u64) -> StandingFence {
     StandingFence {
         database: "a".into(),
         id,
@@ -243,7 +244,7 @@
 }
 
 #[test]
-fn a_fence_holds_until_it_is_lifted_or_runs_out() {
+fn a_fence_is_in_force_until_it_is_cleared_or_expires() {
     let mut fences = fenced();
     assert!(fences.holds(at(8_999), &"a".into()));
     assert!(!fences.holds(at(9_000), &"a".into()));
@@ -254,21 +255,24 @@
 }
 
 #[rstest]
-#[case::put_up_before_it_was_lifted_here(1_600, false)]
-#[case::put_up_after_it_was_lifted_here(400, true)]
-fn what_is_heard_of_a_lifted_fence(#[case] age_ms: u64, #[case] holds: bool) {
+#[case::set_before_it_was_cleared_here(1_600, false)]
+#[case::set_after_it_was_cleared_here(400, true)]
+fn a_reported_fence_counts_if_set_after_it_was_cleared_here(
+    #[case] age_ms: u64,
+    #[case] holds: bool,
+) {
     let mut fences = fenced();
     fences.lift(at(2_000), &"a".into());
-    fences.heard(at(2_500), heard(LATER_ROUND, age_ms));
+    fences.heard(at(2_500), reported(LATER_ROUND, age_ms));
     assert_eq!(fences.holds(at(2_500), &"a".into()), holds);
 }
 
-/// What was sent before a replaced database led anew may be answered out of its former lead.
+/// A statement sent before a replaced database became the primary again may be answered from its former lead.
 #[rstest]
 #[case::sent_before_it_was_fenced(900, true)]
-#[case::sent_before_it_led_anew(1_999, true)]
+#[case::sent_before_it_led_again(1_999, true)]
 #[case::sent_since(2_001, false)]
-fn an_answer_of_a_former_lead_is_known(#[case] sent: u64, #[case] is_former: bool) {
+fn an_answer_from_a_former_lead_is_recognised(#[case] sent: u64, #[case] is_former: bool) {
     let mut fences = fenced();
     fences.lift(at(2_000), &"a".into());
     assert_eq!(fences.led_anew_since(at(sent), &"a".into()), is_former);
@@ -285,33 +289,33 @@
     assert!(!fences.led_anew_since(at(1_000), &"a".into()));
 }
 
-/// A node that is farther away puts a fence up after a nearer one has lifted it, and tells of it.
+/// A distant node sets a fence after a nearer one has cleared it, and reports it to the nearer one.
 #[rstest]
-#[case::the_round_that_was_lifted(ROUND, false)]
+#[case::the_cleared_round(ROUND, false)]
 #[case::a_later_round(LATER_ROUND, true)]
-fn what_is_heard_of_a_round_that_was_lifted_before_it_was_put_up(
+fn a_report_of_a_round_that_was_cleared_before_it_was_set(
     #[case] id: FenceId,
     #[case] holds: bool,
 ) {
     let mut near = Fences::default();
     near.put_up(at(1_000), "a".into(), ROUND);
     near.lift_round(at(1_001), &"a".into(), ROUND);
-    near.heard(at(1_500), heard(id, 480));
+    near.heard(at(1_500), reported(id, 480));
     assert_eq!(near.holds(at(1_500), &"a".into()), holds);
 }
 
 #[rstest]
 #[case::of_the_round(ROUND, false)]
 #[case::of_an_earlier_round(FenceId(6), true)]
-fn a_late_lift_leaves_later_rounds_alone(#[case] lifted: FenceId, #[case] holds: bool) {
+fn a_late_clear_leaves_later_rounds_in_force(#[case] cleared: FenceId, #[case] holds: bool) {
     let mut fences = fenced();
-    fences.lift_round(at(1_200), &"a".into(), lifted);
+    fences.lift_round(at(1_200), &"a".into(), cleared);
     assert_eq!(fences.holds(at(1_200), &"a".into()), holds);
-    assert!(!fences.put_up(at(1_300), "a".into(), lifted));
+    assert!(!fences.put_up(at(1_300), "a".into(), cleared));
 }
 
 #[test]
-fn hearing_of_a_fence_never_makes_it_last_longer() {
+fn reports_never_extend_a_fence() {
     let (mut one, mut other) = (fenced(), Fences::default());
     for time in (1_000..20_000).step_by(500) {
         for fence in one.standing(at(time)) {
@@ -339,11 +343,12 @@
     );
 }
 
-/// A cold replica isn't chosen while a warm one has the same log, but rather than one that lacks commits.
+/// A warm replica is preferred to a cold one with the same log; a cold one is preferred to a warm one that lacks
+/// commits.
 #[rstest]
 #[case::same_log((1, 5), (1, 5), "far")]
 #[case::longer_log((1, 6), (1, 5), "near")]
-fn a_warm_successor_goes_before_a_cold_one_without_loss(
+fn a_warm_successor_is_preferred_if_no_commit_is_lost(
     #[case] cold: (u64, u64),
     #[case] warm: (u64, u64),
     #[case] chosen: &str,
@@ -356,7 +361,7 @@
 }
 
 #[test]
-fn where_logs_are_waited_for_cold_successors_go_last() {
+fn cold_candidates_are_dropped_while_a_warm_one_exists() {
     let mut cold = candidate("cold", Some((1, 6)), true, 0);
     cold.cold = true;
     let mut both = vec![cold.clone(), candidate("warm", Some((1, 5)), true, 0)];
--- a/crates/dyketally/tests/failover_fuzz.rs
+++ b/crates/dyketally/tests/failover_fuzz.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing of failover decisions. Holders of the duty are paused and replaced, appointments
-//! are carried out late, replicas receive commits at different times. With a mechanism switched off,
+//! Stateful fuzzing of failover decisions. Holders of the duty of replacing primaries are paused and replaced,
+//! appointments are carried out late, and replicas receive commits at different times. With a mechanism switched off,
 //! the oracle must find a violation.
 
 use dyketally::failover::{Appointments, Candidate, Succession, TokenUse, choose_successor};
@@ -13,19 +13,19 @@
 const STEPS: usize = 60;
 const DATABASES: [&str; 3] = ["a", "b", "c"];
 
-/// A mechanism of the tokens that is switched off.
+/// The token mechanism that a run switches off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TokenFault {
     Nothing,
-    /// A token goes on being used whatever was appointed with it.
+    /// A token is used again for further appointments.
     NeverRenewed,
-    /// The service doesn't look at tokens.
+    /// The service carries out appointments whatever their token.
     Unfenced,
 }
 
-/// An appointment under way.
+/// An appointment that was sent and has yet to be carried out.
 #[derive(Clone, Debug)]
-struct Call {
+struct Appointment {
     token: u64,
     decided: usize,
     database: DatabaseName,
@@ -41,7 +41,7 @@
     random: StdRng,
     next_token: u64,
     holder: Holder,
-    under_way: Vec<Call>,
+    pending: Vec<Appointment>,
     fence: u64,
     decisions: usize,
     acknowledged: usize,
@@ -58,7 +58,7 @@
                 token: 1,
                 appointments: Appointments::default(),
             },
-            under_way: Vec::new(),
+            pending: Vec::new(),
             fence: 0,
             decisions: 0,
             acknowledged: 0,
@@ -71,7 +71,7 @@
         self.next_token
     }
 
-    /// The holder decides on a database and sends the call.
+    /// The holder of the duty decides on a database and sends its appointment.
     fn decide(&mut self) {
         let group = GroupName::from("orders");
         let database = DatabaseName::from(DATABASES[self.random.random_range(0..3)]);
@@ -85,7 +85,7 @@
             .appointments
             .appointing(&group, &database, token);
         self.decisions += 1;
-        self.under_way.push(Call {
+        self.pending.push(Appointment {
             token,
             decided: self.decisions,
             database,
@@ -101,13 +101,14 @@
         };
     }
 
-    /// Some call arrives; a violation if it undoes a later decision that has taken effect.
+    /// Carries out a random pending appointment. Returns a violation if it undoes a later decision that has taken
+    /// effect.
     fn carry_out(&mut self) -> Option<String> {
-        if self.under_way.is_empty() {
+        if self.pending.is_empty() {
             return None;
         }
-        let index = self.random.random_range(0..self.under_way.len());
-        let call = self.under_way.swap_remove(index);
+        let index = self.random.random_range(0..self.pending.len());
+        let call = self.pending.swap_remove(index);
         if call.token < self.fence && self.fault != TokenFault::Unfenced {
             return None;
         }
@@ -155,18 +156,18 @@
     );
 }
 
-/// A mechanism of the choice that is switched off.
+/// The mechanism in the choice of a successor that a run switches off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChoiceFault {
     Nothing,
-    /// Nobody asks how many replicas acknowledge a commit.
+    /// The choice assumes that no replica acknowledges commits.
     AcknowledgingIgnored,
-    /// Any database that answers will do.
-    FirstOneTaken,
+    /// The first candidate whose log is known is promoted.
+    FirstCandidateTaken,
 }
 
-/// Commits, each received by at least `acknowledging` replicas before it is acknowledged; then the
-/// primary is lost and some replicas don't answer. The commits that the successor lacks.
+/// Plays one run: each commit is received by at least `acknowledging` replicas before it is acknowledged; then the
+/// primary is lost and some replicas don't answer. Returns a description if the successor lacks acknowledged commits.
 fn lost_commits(seed: u64, fault: ChoiceFault) -> Option<String> {
     let mut random = StdRng::seed_from_u64(seed);
     let replicas = random.random_range(1..4_usize);
@@ -202,18 +203,18 @@
             preference: random.random_range(0..3),
         })
         .collect();
-    let told = match fault {
+    let assumed_acknowledging = match fault {
         ChoiceFault::AcknowledgingIgnored => 0,
         _ => acknowledging,
     };
     let choice = match fault {
-        ChoiceFault::FirstOneTaken => candidates
+        ChoiceFault::FirstCandidateTaken => candidates
             .iter()
             .find(|candidate| candidate.received.is_some())
             .map_or(Succession::NoCandidate, |candidate| {
                 Succession::Promote(candidate.name.clone())
             }),
-        _ => choose_successor(&candidates, replicas, told),
+        _ => choose_successor(&candidates, replicas, assumed_acknowledging),
     };
     let Succession::Promote(name) = choice else {
         return None;
@@ -232,8 +233,8 @@
 
 #[rstest]
 #[case(ChoiceFault::AcknowledgingIgnored)]
-#[case(ChoiceFault::FirstOneTaken)]
-fn a_choice_that_is_switched_off_is_noticed(#[case] fault: ChoiceFault) {
+#[case(ChoiceFault::FirstCandidateTaken)]
+fn a_choice_mechanism_that_is_switched_off_is_noticed(#[case] fault: ChoiceFault) {
     let lost = (0..20_000).find_map(|seed| lost_commits(seed, fault));
     assert!(lost.is_some(), "{fault:?} went unnoticed");
 }
--- a/crates/dyketally/tests/freshness.rs
+++ b/crates/dyketally/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Freshness of replica reads from observations of the primary's log.
+//! Freshness of replica reads: positions known from observations of the primary's log, and the estimated replica lag.
 
 use std::time::Duration;
 
@@ -55,19 +55,19 @@
     ReadConsistency::ReadOwnWrites { bound: Duration::from_millis(2_500) },
     Some((4_000, Some(9)))
 )]
-fn what_a_read_needs_follows_from_its_route(
+fn the_consistency_of_a_route_determines_what_a_read_needs(
     #[case] consistency: ReadConsistency,
     #[case] expected: Option<(u64, Option<u64>)>,
 ) {
     let need = consistency.need(at(5_000), at(4_000), Some(position(9)));
-    let told = need.map(|need| (need.covered, need.own_commit));
+    let actual = need.map(|need| (need.covered, need.own_commit));
     let expected =
         expected.map(|(covered, own): (u64, Option<u64>)| (at(covered), own.map(position)));
-    assert_eq!(told, expected);
+    assert_eq!(actual, expected);
 }
 
 #[test]
-fn a_session_that_came_back_needs_an_observation_made_since() {
+fn a_session_that_reconnected_needs_an_observation_made_since() {
     let bound = Duration::from_millis(2_500);
     let consistency = ReadConsistency::ReadOwnWrites { bound };
     let need = consistency
@@ -131,8 +131,9 @@
     assert_eq!(age, Duration::from_millis(age_ms));
 }
 
-/// Replicas that are 150 ms behind, asked for positions that are `age_ms` old.
-fn learnt(ages_ms: impl IntoIterator<Item = u64>) -> Duration {
+/// The lag estimated for replicas that are 150 ms behind, after requests for positions of the given ages in
+/// milliseconds.
+fn estimated_lag(ages_ms: impl IntoIterator<Item = u64>) -> Duration {
     let mut estimate = LagEstimate::default();
     let mut now = at(0);
     for age_ms in ages_ms {
@@ -143,25 +144,25 @@
 }
 
 #[test]
-fn a_lag_is_learnt_from_what_replicas_hold() {
-    let lag = learnt((0..500).map(|number| number * 37 % 300));
+fn a_lag_is_estimated_from_what_replicas_hold() {
+    let lag = estimated_lag((0..500).map(|number| number * 37 % 300));
     let near = Duration::from_millis(120)..Duration::from_millis(160);
     assert!(near.contains(&lag), "{lag:?}");
 }
 
 #[rstest]
-#[case::nothing_was_asked(&[], 0)]
-#[case::old_positions_tell_nothing(&[800, 900, 700], 0)]
-#[case::one_that_was_behind(&[100], 100)]
-fn a_lag_begins_with_what_a_replica_lacked(#[case] ages_ms: &[u64], #[case] lag_ms: u64) {
+#[case::no_request(&[], 0)]
+#[case::old_positions_show_no_lag(&[800, 900, 700], 0)]
+#[case::a_replica_that_was_behind(&[100], 100)]
+fn the_first_missing_position_sets_the_lag(#[case] ages_ms: &[u64], #[case] lag_ms: u64) {
     assert_eq!(
-        learnt(ages_ms.iter().copied()),
+        estimated_lag(ages_ms.iter().copied()),
         Duration::from_millis(lag_ms)
     );
 }
 
 #[test]
-fn a_lag_that_nothing_confirms_fades() {
+fn an_unconfirmed_lag_decays() {
     let mut estimate = LagEstimate::default();
     estimate.record(at(0), Duration::from_millis(160), false);
     assert_eq!(estimate.value(at(4_000)), Duration::from_millis(80));
--- a/crates/dyketally/tests/freshness_fuzz.rs
+++ b/crates/dyketally/tests/freshness_fuzz.rs
@@ -18,19 +18,19 @@
 const SESSIONS: usize = 3;
 const BOUND_MS: u64 = 800;
 
-/// A mechanism that is switched off.
+/// The mechanism that a run_request switches off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     Nothing,
     /// Sessions forget their own commits.
     OwnCommitForgotten,
-    /// A session that roamed is treated as if it had always been here.
+    /// A session that moved to another node is treated as if it had always been connected there.
     RoamingForgotten,
-    /// An observation counts from the answer, not from when it was asked for.
+    /// An observation is dated by its answer and not by its request.
     CountedFromAnswer,
-    /// Databases that lost the lead are believed.
+    /// Positions of databases that lost the lead are recorded as the primary's.
     DeposedBelieved,
-    /// Any position will do, however old.
+    /// Observed positions satisfy the staleness bound whatever their age.
     BoundIgnored,
 }
 
@@ -54,19 +54,21 @@
 #[derive(Clone, Copy)]
 struct Session {
     node: usize,
-    /// When it connected, as the node believes.
+    /// When the session connected, as its node believes, in milliseconds.
     connected: u64,
-    /// When it connected.
+    /// When the session connected, in milliseconds.
     since: u64,
     own_commit: Option<LogPosition>,
 }
 
-/// An exchange of a node with a database that it takes for the primary.
+/// A request of a node to a database that it treats as the primary, with its reply.
 struct Exchange {
     node: usize,
     session: Option<usize>,
     database: usize,
     sent: u64,
+    /// The reply, once the request has run_request: the database's position, whether it led, and the commit that was
+    /// made.
     done: Option<(LogPosition, bool, Option<usize>)>,
 }
 
@@ -117,17 +119,17 @@
         }
     }
 
-    fn pick(&mut self, below: usize) -> usize {
+    fn random_below(&mut self, below: usize) -> usize {
         self.random.random_range(0..below)
     }
 
-    /// One step; the description of a stale read, if there was one.
+    /// Takes one random step and returns the description of a stale read, if there was one.
     fn step(&mut self) -> Option<String> {
         self.now += self.random.random_range(1..60);
-        match self.pick(100) {
-            0..=17 => self.ask(),
-            18..=42 => self.run(),
-            43..=67 => self.finish(),
+        match self.random_below(100) {
+            0..=17 => self.send_request(),
+            18..=42 => self.run_request(),
+            43..=67 => self.deliver_reply(),
             68..=77 => self.replicate(),
             78..=79 => self.promote(),
             80..=81 => self.rejoin(),
@@ -137,11 +139,11 @@
         None
     }
 
-    fn ask(&mut self) {
-        let session = self.pick(SESSIONS);
-        let writes = self.pick(2) == 0;
-        let database = match self.pick(3) {
-            0 => self.pick(DATABASES),
+    fn send_request(&mut self) {
+        let session = self.random_below(SESSIONS);
+        let writes = self.random_below(2) == 0;
+        let database = match self.random_below(3) {
+            0 => self.random_below(DATABASES),
             _ => self.primary,
         };
         self.exchanges.push(Exchange {
@@ -153,7 +155,7 @@
         });
     }
 
-    fn run(&mut self) {
+    fn run_request(&mut self) {
         let waiting = self
             .exchanges
             .iter()
@@ -190,7 +192,7 @@
         }
     }
 
-    fn finish(&mut self) {
+    fn deliver_reply(&mut self) {
         let done = self
             .exchanges
             .iter()
@@ -200,7 +202,7 @@
         if done.is_empty() {
             return;
         }
-        let chosen = done[self.pick(done.len())];
+        let chosen = done[self.random_below(done.len())];
         let exchange = self.exchanges.swap_remove(chosen);
         let Some((position, led, commit)) = exchange.done else {
             return;
@@ -208,7 +210,7 @@
         if let Some(commit) = commit {
             let session = self.commits[commit].session;
             let session = &mut self.sessions[session];
-            // A caller that closed its connection meanwhile was never told of the commit.
+            // A caller that closed its connection before the reply came got no acknowledgement.
             if session.node == exchange.node && session.since <= exchange.sent {
                 session.own_commit = session.own_commit.max(Some(position));
                 self.commits[commit].acknowledged = Some(self.now);
@@ -230,7 +232,7 @@
 
     fn replicate(&mut self) {
         let source = self.databases[self.primary].log.clone();
-        let replica = self.pick(DATABASES);
+        let replica = self.random_below(DATABASES);
         let database = &mut self.databases[replica];
         if replica != self.primary && database.follows && database.log.len() < source.len() {
             let upto = self.random.random_range(database.log.len()..=source.len());
@@ -239,7 +241,7 @@
     }
 
     fn promote(&mut self) {
-        let successor = self.pick(DATABASES);
+        let successor = self.random_below(DATABASES);
         if successor == self.primary || !self.databases[successor].follows {
             return;
         }
@@ -268,13 +270,13 @@
     }
 
     fn roam(&mut self) {
-        let session = self.pick(SESSIONS);
+        let session = self.random_below(SESSIONS);
         let connected = match self.fault {
             Fault::RoamingForgotten => 0,
             _ => self.now,
         };
         self.sessions[session] = Session {
-            node: self.pick(NODES),
+            node: self.random_below(NODES),
             connected,
             since: self.now,
             own_commit: None,
@@ -282,9 +284,9 @@
     }
 
     fn read(&mut self) -> Option<String> {
-        let number = self.pick(SESSIONS);
+        let number = self.random_below(SESSIONS);
         let session = self.sessions[number];
-        let own = self.pick(2) == 0;
+        let own = self.random_below(2) == 0;
         let bound = Duration::from_millis(match self.fault {
             Fault::BoundIgnored => 900_000,
             _ => BOUND_MS,
@@ -301,7 +303,7 @@
         let connected = Timestamp::from_millis(session.connected);
         let need = consistency.need(arrived, connected, own_commit)?;
         let needed = need.position(&self.observations[session.node])?;
-        let database = self.pick(DATABASES);
+        let database = self.random_below(DATABASES);
         let log = &self.databases[database].log;
         if !holds(log, needed) {
             return None;
@@ -315,7 +317,10 @@
             let own_one = own && commit.session == number && acknowledged < self.now;
             let seen = log.iter().any(|entry| entry.commit == index);
             if (older || own_one) && !seen {
-                let text = format!("commit {index} of {acknowledged} missed at {}", self.now);
+                let text = format!(
+                    "commit {index}, acknowledged at {acknowledged} ms, is missing in a read at {} ms",
+                    self.now
+                );
                 return Some(text);
             }
         }
--- a/crates/dyketally/tests/gate.rs
+++ b/crates/dyketally/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The gate in front of a database: limits on what is in flight, and expected waits.
+//! The gate in front of a database: limits on statements in flight, expected waits and queue timeouts.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     Timestamp::from_millis(milliseconds)
 }
 
-/// How many may be in flight.
-fn room(limit: &InFlightLimit) -> u32 {
+/// The number of statements that `limit` lets be in flight.
+fn max_in_flight(limit: &InFlightLimit) -> u32 {
     (0..1_000)
         .find(|in_flight| !limit.admits(*in_flight))
         .unwrap_or(u32::MAX)
@@ -23,49 +23,53 @@
 #[case::shares_are_rounded_up(5, 4, 4)]
 #[case::many_nodes(3, 71, 2)]
 #[case::no_node_is_known(3, 0, 9)]
-fn slots_are_shared_out(#[case] slots: u32, #[case] holders: usize, #[case] expected: u32) {
+fn slots_are_divided_among_nodes(
+    #[case] slots: u32,
+    #[case] holders: usize,
+    #[case] expected: u32,
+) {
     let mut limit = InFlightLimit::default();
     limit.share_out(slots, holders);
-    assert_eq!(room(&limit), expected);
+    assert_eq!(max_in_flight(&limit), expected);
 }
 
 #[test]
-fn a_database_that_turns_away_gets_less_and_then_more_again() {
+fn rejections_lower_the_limit_and_answers_raise_it() {
     let mut limit = InFlightLimit::default();
     limit.share_out(8, 1);
     limit.turned_away(at(0));
-    assert_eq!(room(&limit), 18);
+    assert_eq!(max_in_flight(&limit), 18);
     for _ in 0..500 {
         limit.ran();
     }
-    assert_eq!(room(&limit), 24);
+    assert_eq!(max_in_flight(&limit), 24);
 }
 
 #[test]
-fn refusals_that_come_together_count_once_and_leave_room_for_one() {
+fn rejections_at_about_the_same_time_count_once_and_the_limit_stays_above_zero() {
     let mut limit = InFlightLimit::default();
     limit.share_out(8, 1);
     limit.turned_away(at(0));
     limit.turned_away(at(10));
-    assert_eq!(room(&limit), 18);
+    assert_eq!(max_in_flight(&limit), 18);
     for refusal in 1..100 {
         limit.turned_away(at(refusal * 100));
     }
-    assert_eq!(room(&limit), 1);
+    assert_eq!(max_in_flight(&limit), 1);
 }
 
 #[test]
-fn a_new_share_keeps_what_was_learnt() {
+fn a_new_share_keeps_the_lowered_limit() {
     let mut limit = InFlightLimit::default();
     limit.share_out(8, 1);
     limit.turned_away(at(0));
     limit.share_out(8, 2);
-    assert_eq!(room(&limit), 12);
+    assert_eq!(max_in_flight(&limit), 12);
     limit.share_out(8, 1);
-    assert_eq!(room(&limit), 12);
+    assert_eq!(max_in_flight(&limit), 12);
 }
 
-/// A gate before one slot at which a statement ends each 10 ms while others wait.
+/// A gate of a database with one slot, at which a statement ends every 10 ms while others wait.
 fn busy_gate() -> Gate {
     let mut gate = Gate::default();
     gate.share_out(1, 1);
@@ -81,21 +85,21 @@
 }
 
 #[test]
-fn nothing_is_expected_before_anything_is_measured() {
+fn no_wait_is_expected_before_a_measurement() {
     assert_eq!(Gate::default().expected_wait(1), None);
 }
 
 #[rstest]
-#[case::behind_nobody(1, 10)]
+#[case::behind_no_statement(1, 10)]
 #[case::behind_one_of_its_rank(2, 20)]
 #[case::behind_one_of_a_better_rank(3, 20)]
-fn the_wait_follows_from_who_is_ahead(#[case] rank: u32, #[case] expected_ms: u64) {
+fn the_wait_follows_from_the_statements_ahead(#[case] rank: u32, #[case] expected_ms: u64) {
     let expected = busy_gate().expected_wait(rank);
     assert_eq!(expected, Some(Duration::from_millis(expected_ms)));
 }
 
 #[test]
-fn whoever_gives_up_waiting_is_no_longer_ahead() {
+fn a_statement_that_left_the_queue_is_no_longer_ahead() {
     let mut gate = busy_gate();
     gate.waits_no_more(2);
     assert_eq!(gate.expected_wait(2), Some(Duration::from_millis(10)));
@@ -125,7 +129,7 @@
 }
 
 #[test]
-fn silence_is_judged_by_what_the_database_usually_needs() {
+fn the_time_until_an_answer_counts_as_lost_follows_from_usual_run_times() {
     let mut gate = Gate::default();
     assert_eq!(gate.silence(), Duration::from_millis(200));
     for _ in 0..50 {
@@ -145,25 +149,25 @@
 
 #[rstest]
 #[case::a_queue_that_has_just_formed(0, 999, 500)]
-#[case::a_queue_that_stands(0, 1_000, 50)]
-fn patience_ends_when_the_queue_stands(
+#[case::a_standing_queue(0, 1_000, 50)]
+fn a_standing_queue_has_the_shorter_timeout(
     #[case] began: u64,
     #[case] now: u64,
     #[case] expected_ms: u64,
 ) {
-    let patience = Patience {
+    let timeouts = Patience {
         burst: Duration::from_millis(500),
         standing: Duration::from_millis(50),
     };
     let mut gate = Gate::default();
     gate.waits(at(began), 2);
     let expected = Duration::from_millis(expected_ms);
-    assert_eq!(gate.patience(at(now), patience), expected);
+    assert_eq!(gate.patience(at(now), timeouts), expected);
 }
 
 #[test]
-fn a_queue_that_was_empty_evens_out_bursts_again() {
-    let patience = Patience {
+fn a_queue_that_was_empty_has_the_burst_timeout_again() {
+    let timeouts = Patience {
         burst: Duration::from_millis(500),
         standing: Duration::from_millis(50),
     };
@@ -171,8 +175,8 @@
     gate.waits(at(0), 2);
     gate.waits(at(500), 1);
     gate.waits_no_more(2);
-    assert_eq!(gate.patience(at(1_500), patience), patience.standing);
+    assert_eq!(gate.patience(at(1_500), timeouts), timeouts.standing);
     gate.waits_no_more(1);
     gate.waits(at(1_600), 2);
-    assert_eq!(gate.patience(at(1_700), patience), patience.burst);
+    assert_eq!(gate.patience(at(1_700), timeouts), timeouts.burst);
 }
--- a/crates/dyketally/tests/group.rs
+++ b/crates/dyketally/tests/group.rs
@@ -1,4 +1,4 @@
-//! The view of a group, and confirmation rounds with late, reordered and forgetful answers.
+//! The view of a group, and confirmation rounds with late and reordered answers and with members that lost their state.
 
 use std::time::Duration;
 
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_round_begun_before_the_write_ended_says_nothing_about_it() {
+fn a_round_begun_before_the_write_ended_does_not_confirm_it() {
     let mut confirmations = confirmations();
     confirmations.write_finished(1, write(leads(2, (2, 10)), MajorityPosition));
     let early = round(&mut confirmations, at(1));
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_question_without_any_report_is_forgotten_in_time() {
+fn a_request_without_any_reply_is_forgotten_in_time() {
     let mut confirmations = confirmations();
     let pacing = ProbePacing::default();
     for item in 0..pacing.in_flight as u32 {
@@ -238,7 +238,7 @@
 
 #[rstest]
 #[case::confirmed(&[("a", leads(2, (2, 10))), ("b", follows(2, (2, 4)))], Some(Verdict::Confirmed(position(2, 10))))]
-#[case::primary_unheard(&[("b", follows(2, (2, 10))), ("c", follows(2, (2, 10)))], None)]
+#[case::primary_did_not_answer(&[("b", follows(2, (2, 10))), ("c", follows(2, (2, 10)))], None)]
 #[case::primary_stepped_down(&[("a", follows(2, (2, 10)))], Some(Verdict::Deposed { higher_term: Term(2) }))]
 #[case::others_moved_on(&[("a", leads(2, (2, 10))), ("b", follows(3, (2, 4))), ("c", follows(3, (2, 4)))], Some(Verdict::Deposed { higher_term: Term(3) }))]
 fn current_reads_need_the_primary_and_a_majority(
--- a/crates/dyketally/tests/history.rs
+++ b/crates/dyketally/tests/history.rs
@@ -1,12 +1,12 @@
-//! The checker finds what is broken in bad histories, and nothing in good ones.
+//! The history checker reports the violation in each bad history, and none in good ones.
 
 use dyketally::history::{CheckSettings, Violation, check, read_lines, write_line};
 use rstest::rstest;
 
-/// One line of the table: events in JSON with single quotes.
+/// The violations in a history of events, each a line of JSON with single quotes in place of double ones.
 fn violations(history: &[&str]) -> Vec<Violation> {
     let text = history.join("\n").replace('\'', "\"");
-    let events = read_lines(&text).expect("the table holds events");
+    let events = read_lines(&text).expect("each line of the history is an event");
     check(&events, CheckSettings::default())
 }
 
--- a/crates/dyketally/tests/key_trust.rs
+++ b/crates/dyketally/tests/key_trust.rs
@@ -1,4 +1,5 @@
-//! How long keys are trusted, and, fuzzed, that none is used past the bound over any chain of relays.
+//! How long a node trusts keys. A property test checks that no key is used past the bound when confirmations come
+//! through a relay.
 
 use std::time::Duration;
 
@@ -48,9 +49,10 @@
     assert_eq!(trust.age(at(10_000)), Some(Duration::from_secs(1)));
 }
 
-/// A node that has just started can't date what is older than its clock, and must not take it for new.
+/// A node that has just started can't represent times before its clock began, and must not treat a confirmation from
+/// before that time as new.
 #[test]
-fn what_was_confirmed_before_the_nodes_start_isnt_taken_for_newer() {
+fn a_confirmation_from_before_the_nodes_start_is_not_treated_as_newer() {
     let mut trust = KeyTrust::new(REFUSING);
     trust.confirm_relayed(at(500), Duration::from_secs(600));
     assert!(!trust.holds(at(600)));
@@ -58,19 +60,20 @@
     assert!(trust.holds(at(600)));
 }
 
-/// Pauses of a watch that was asked twice, and of one question to a relay, leave room for the way.
+/// Keys are trusted for more than four confirmation intervals: enough for a watch that is asked twice, one request to a
+/// relay, and the transfer.
 #[test]
-fn regular_confirmations_keep_trust_up() {
+fn regular_confirmations_keep_keys_trusted() {
     let pause = REFUSING.confirmed_each().expect("a pause");
     let trusted = REFUSING.trusted_for().expect("a limit");
     assert!(pause * 4 < trusted);
     assert!(trusted < BOUND);
 }
 
-/// What happens to a chain from the store by way of a relay to a node.
+/// A step in a chain from the store through a relay to a node. Times are in milliseconds.
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u64),
+    AdvanceClock(u64),
     StoreAnswersRelay { asked_before: u64 },
     RelayAnswersNode { asked_before: u64 },
 }
@@ -78,7 +81,7 @@
 fn step() -> impl Strategy<Value = Step> {
     let before = 0_u64..4_000;
     prop_oneof![
-        (0_u64..3_000).prop_map(Step::Pass),
+        (0_u64..3_000).prop_map(Step::AdvanceClock),
         before
             .clone()
             .prop_map(|asked_before| Step::StoreAnswersRelay { asked_before }),
@@ -87,8 +90,8 @@
 }
 
 proptest! {
-    /// Replies may be late by any time. A node that still trusts its keys has heard of every one that
-    /// was taken away longer ago than the bound.
+    /// Replies may be late by any time. A node that still trusts its keys has received every revocation that is older
+    /// than the bound.
     #[test]
     fn no_key_is_trusted_past_the_bound(steps in prop::collection::vec(step(), 1..60)) {
         // The clocks of the two nodes started at different times.
@@ -96,29 +99,29 @@
         let mut now = 20_000;
         let mut relay = KeyTrust::new(REFUSING);
         let mut node = KeyTrust::new(REFUSING);
-        // When the configuration that each has was truly the newest one.
-        let mut relay_knows = 0;
-        let mut node_knows = 0;
+        // The latest true times at which the configurations of the relay and of the node were the newest ones.
+        let mut relay_current_at = 0;
+        let mut node_current_at = 0;
         for step in steps {
             match step {
-                Step::Pass(time) => now += time,
+                Step::AdvanceClock(time) => now += time,
                 Step::StoreAnswersRelay { asked_before } => {
                     relay.confirm(at(now - asked_before));
-                    relay_knows = relay_knows.max(now - asked_before);
+                    relay_current_at = relay_current_at.max(now - asked_before);
                 }
                 Step::RelayAnswersNode { asked_before } => {
-                    // The relay answered at some time since it was asked; the latest is the worst.
+                    // The relay answered at some time after the request; an answer just now is the worst case.
                     if let Some(age) = relay.age(at(now)) {
                         node.confirm_relayed(at(now - node_start - asked_before), age);
-                        node_knows = node_knows.max(relay_knows);
+                        node_current_at = node_current_at.max(relay_current_at);
                     }
                 }
             }
             if node.holds(at(now - node_start)) {
-                prop_assert!(now - node_knows < BOUND.as_millis() as u64);
+                prop_assert!(now - node_current_at < BOUND.as_millis() as u64);
             }
             if relay.holds(at(now)) {
-                prop_assert!(now - relay_knows < BOUND.as_millis() as u64);
+                prop_assert!(now - relay_current_at < BOUND.as_millis() as u64);
             }
         }
     }
--- a/crates/dyketally/tests/membership.rs
+++ b/crates/dyketally/tests/membership.rs
@@ -25,7 +25,7 @@
 
 #[rstest]
 #[case::one_region(7, 1)]
-#[case::a_node_a_region(3, 3)]
+#[case::one_node_per_region(3, 3)]
 #[case::three_regions(24, 3)]
 fn a_killed_node_is_detected_and_a_new_process_returns(
     #[case] count: usize,
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn loss_of_a_tenth_kills_nobody() {
+fn loss_of_a_tenth_of_datagrams_causes_no_death() {
     let mut simulation = Simulation::joined(3, 24, 2);
     let since = simulation.now;
     simulation.loss = 0.1;
@@ -75,7 +75,7 @@
 #[case::other_version(vec![2, 0, 0, 0])]
 #[case::noise(vec![1, 255, 254, 253, 252])]
 #[case::too_long(vec![1; 5_000])]
-fn garbage_is_counted_and_ignored(#[case] bytes: Vec<u8>) {
+fn malformed_datagrams_are_counted_and_ignored(#[case] bytes: Vec<u8>) {
     let mut simulation = Simulation::joined(4, 3, 1);
     let from = SocketAddr::from(([10, 9, 9, 9], 9));
     simulation.inject(from, &name(0), &bytes);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn every_cut_or_altered_datagram_is_survived() {
+fn truncated_and_altered_datagrams_do_no_harm() {
     let mut simulation = Simulation::joined(5, 3, 1);
     let (now, own) = (simulation.now, name(0));
     let outputs = simulation.membership(&own).announce_leaving(now);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_paused_node_is_declared_dead_and_comes_back() {
+fn a_paused_node_is_declared_dead_and_rejoins() {
     let mut simulation = Simulation::joined(6, 9, 3);
     let paused = name(4);
     let before = simulation.membership(&paused).own_incarnation();
@@ -123,14 +123,14 @@
     assert_eq!(
         simulation.count(since, is_death),
         0,
-        "the paused node accused others"
+        "the paused node declared others dead"
     );
 }
 
 #[rstest]
 #[case::to_it(true)]
 #[case::from_it(false)]
-fn helpers_vouch_for_a_node_behind_a_one_way_cut(#[case] to_it: bool) {
+fn indirect_probes_keep_a_node_behind_a_one_way_cut_alive(#[case] to_it: bool) {
     let mut simulation = Simulation::joined(7, 8, 1);
     let since = simulation.now;
     let (one, other) = (name(2), name(5));
@@ -146,10 +146,10 @@
 }
 
 #[test]
-fn a_cut_between_regions_is_one_change_and_heals_quietly() {
+fn a_cut_between_regions_is_one_change_and_heals_without_suspicion() {
     let mut simulation = Simulation::joined(8, 30, 3);
     let since = simulation.now;
-    simulation.part(is_first_region);
+    simulation.partition(is_first_region);
     simulation.run_for(60 * SECOND);
     let inside = name(0);
     assert_eq!(
@@ -178,9 +178,9 @@
 }
 
 #[test]
-fn changes_behind_a_cut_are_learned_when_it_heals() {
+fn changes_behind_a_cut_are_received_when_it_heals() {
     let mut simulation = Simulation::joined(9, 18, 3);
-    simulation.part(is_first_region);
+    simulation.partition(is_first_region);
     simulation.run_for(20 * SECOND);
     simulation.kill(&name(3));
     simulation.leave(&name(4));
@@ -206,7 +206,7 @@
         simulation.membership(&node).set_contacts(Vec::new());
     }
     let first_zone = |locality: &Locality| locality.zone.as_str() == "zone-0-0";
-    simulation.part(first_zone);
+    simulation.partition(first_zone);
     simulation.run_for(60 * SECOND);
     assert_eq!(
         simulation.state(&name(0), &name(1)),
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn leaving_is_told_and_not_detected() {
+fn leaving_is_announced_and_causes_no_suspicion() {
     let mut simulation = Simulation::joined(11, 18, 3);
     let since = simulation.now;
     let leaving = name(5);
@@ -247,11 +247,11 @@
 }
 
 #[test]
-fn an_older_process_learns_that_it_was_replaced() {
+fn an_older_process_detects_that_it_was_replaced() {
     let mut simulation = Simulation::joined(12, 6, 1);
     let node = name(3);
     let now = simulation.now;
-    let newer = rename(&mut simulation, &node, now);
+    let newer = message_of_newer_process(&mut simulation, &node, now);
     let from = SocketAddr::from(([10, 9, 9, 9], 9));
     simulation.inject(from, &node, &newer);
     assert!(simulation.membership(&node).is_replaced());
@@ -259,8 +259,12 @@
     assert!(outputs.is_empty(), "a replaced process stays silent");
 }
 
-/// A message in which a process of the same name that started later introduces itself.
-fn rename(simulation: &mut Simulation, node: &NodeName, now: Timestamp) -> Vec<u8> {
+/// A message from a process that has the name of `node` and started later.
+fn message_of_newer_process(
+    simulation: &mut Simulation,
+    node: &NodeName,
+    now: Timestamp,
+) -> Vec<u8> {
     let outputs = simulation.membership(&name(0)).announce_leaving(now);
     let message = outputs.into_iter().find_map(|output| match output {
         dyketally::membership::Output::Send { message, .. } => Some(*message),
@@ -311,7 +315,7 @@
     let mut simulation = Simulation::joined(14, 30, 3);
     let since = simulation.now;
     simulation.set_revision(&name(7), 5);
-    // Each node that sees the revision takes it, as one that pulls the changes would.
+    // Each node that sees the revision adopts it, as a node that pulls the changes does.
     for _ in 0..100 {
         simulation.run_for(Duration::from_millis(100));
         for node in simulation.running() {
@@ -352,7 +356,7 @@
 #[case::timeouts(|config: &mut Config| config.direct_timeout = config.probe_timeout, "direct_timeout")]
 #[case::suspicion(|config: &mut Config| config.longest_suspicion = Duration::ZERO, "shortest_suspicion")]
 #[case::updates(|config: &mut Config| config.update_bytes = 10_000, "update_bytes")]
-fn settings_that_cannot_work_are_refused(#[case] change: fn(&mut Config), #[case] named: &str) {
+fn invalid_settings_are_refused(#[case] change: fn(&mut Config), #[case] named: &str) {
     let mut config = Config::default();
     assert_eq!(config.validate(), Ok(()));
     change(&mut config);
--- a/crates/dyketally/tests/membership_full_size.rs
+++ b/crates/dyketally/tests/membership_full_size.rs
@@ -1,5 +1,5 @@
-//! Membership at the size to design for, on a simulated network and clock: what each node spends
-//! and how soon all know of a death are exact for a seed, however busy the machine is.
+//! Membership at the design size of 610 nodes, on a simulated network and clock: the bytes that each node sends and
+//! receives, and the time until all nodes know of a death, are exact for a seed, whatever the load of the machine.
 
 mod simulation;
 
@@ -14,29 +14,30 @@
 const REGIONS: usize = 3;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// What control may cost a node in all, in bytes a second, and what IP and UDP add to a datagram.
+/// Upper bound for the control traffic of a node, sent and received, in bytes a second.
 const CONTROL_BUDGET: f64 = 6_000.0;
+/// Bytes that the headers of IP and UDP add to a datagram.
 const HEADER_BYTES: u64 = 28;
 
-/// Time in which each node knows of a death.
-const DEATH_KNOWN: Duration = Duration::from_secs(10);
+/// Longest time until every node knows of a death.
+const DEATH_KNOWN_WITHIN: Duration = Duration::from_secs(10);
 
-/// Bytes and datagrams sent and received by each node so far.
-fn spent(simulation: &Simulation) -> Vec<(NodeName, f64)> {
+/// Bytes that each running node has sent and received so far, headers included.
+fn traffic(simulation: &Simulation) -> Vec<(NodeName, f64)> {
     let running = simulation.running();
-    let spent = running.into_iter().map(|name| {
+    let traffic = running.into_iter().map(|name| {
         let node = &simulation.nodes[&name];
         let counters = node.membership.counters();
         let headers = HEADER_BYTES * (counters.sent + counters.received);
         let bytes = (node.bytes_sent + node.bytes_received) as u64 + headers;
         (name, bytes as f64)
     });
-    spent.collect()
+    traffic.collect()
 }
 
 /// Bytes a second of the median and of the worst node since `before`.
 fn rates(simulation: &Simulation, before: &[(NodeName, f64)], duration: Duration) -> (f64, f64) {
-    let now = spent(simulation);
+    let now = traffic(simulation);
     let mut rates: Vec<f64> = Vec::new();
     for (name, bytes) in now {
         let earlier = before.iter().find(|(other, _)| *other == name);
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn the_full_size_stays_within_its_budget() {
+fn control_traffic_at_full_size_stays_within_its_budget() {
     let mut simulation = Simulation::new(21);
     for number in 0..NODES {
         simulation.start(
@@ -81,7 +82,7 @@
     simulation.run_for(20 * SECOND);
     simulation.assert_agreement();
 
-    let before = spent(&simulation);
+    let before = traffic(&simulation);
     let since = simulation.now;
     simulation.run_for(20 * SECOND);
     let (median, worst) = rates(&simulation, &before, 20 * SECOND);
@@ -93,30 +94,33 @@
     zone_lost(&mut simulation);
 }
 
-/// Longest time for a fleet that starts all at once.
-const JOINED: Duration = Duration::from_secs(60);
+/// Longest time until all nodes of a fleet that starts at once know each other.
+const JOIN_LIMIT: Duration = Duration::from_secs(60);
 
 fn run_until_all_known(simulation: &mut Simulation) -> Duration {
-    let begun = simulation.now;
+    let started_at = simulation.now;
     loop {
         simulation.run_for(SECOND);
-        let took = simulation.now.saturating_since(begun);
+        let took = simulation.now.saturating_since(started_at);
         let running = simulation.running();
         let known = |node| simulation.nodes[node].membership.members().len();
         if running.iter().all(|node| known(node) == NODES) {
             return took;
         }
-        assert!(took < JOINED, "the fleet did not join");
+        assert!(
+            took < JOIN_LIMIT,
+            "the nodes don't all know each other after {took:?}"
+        );
     }
 }
 
 fn one_death(simulation: &mut Simulation) {
     let (victim, since) = (name(400), simulation.now);
-    let before = spent(simulation);
+    let before = traffic(simulation);
     simulation.kill(&victim);
-    simulation.run_for(DEATH_KNOWN);
+    simulation.run_for(DEATH_KNOWN_WITHIN);
     let known = last_to_know(simulation, since, &victim);
-    let (median, worst) = rates(simulation, &before, DEATH_KNOWN);
+    let (median, worst) = rates(simulation, &before, DEATH_KNOWN_WITHIN);
     println!("one death: known everywhere after {known:?}; {median:.0} / {worst:.0} bytes/s");
     assert!(worst < CONTROL_BUDGET);
     assert_eq!(simulation.count(since, is_mistaken(&[victim])), 0);
@@ -126,7 +130,7 @@
     let is_lost = |place: &Locality| *place == locality(0, 1);
     let mut victims = simulation.running();
     victims.retain(|node| is_lost(&simulation.nodes[node].locality));
-    let (before, since) = (spent(simulation), simulation.now);
+    let (before, since) = (traffic(simulation), simulation.now);
     for victim in &victims {
         simulation.kill(victim);
     }
--- a/crates/dyketally/tests/membership_fuzz.rs
+++ b/crates/dyketally/tests/membership_fuzz.rs
@@ -1,5 +1,5 @@
-//! Membership under random faults: kills, new processes, freezes, one-way cuts, loss, cuts between
-//! regions and leaving. After healing and quiet time, all running nodes must agree.
+//! Stateful fuzzing of membership under kills, new processes, freezes, one-way cuts, loss, cuts between regions and
+//! leaving. All running nodes must agree `QUIET_TIME` after the faults are healed.
 
 mod simulation;
 
@@ -30,16 +30,16 @@
     Thaw(usize),
     Leave(usize),
     CutOneWay(usize, usize),
-    PartRegion(usize),
+    PartitionRegion(usize),
     Lose(u32),
     Duplicate(u32),
     Heal,
     Wait(u64),
-    /// Heals, thaws, waits, and compares all views.
+    /// Heals the network, thaws frozen processes, waits for `QUIET_TIME` and compares all views.
     Settle,
 }
 
-/// The oracle: which processes run.
+/// The model: the state of each process.
 #[derive(Clone, Debug)]
 struct Fleet {
     seed: u64,
@@ -51,7 +51,7 @@
         self.processes[number] == process
     }
 
-    fn alive(&self) -> usize {
+    fn unkilled(&self) -> usize {
         self.processes
             .iter()
             .filter(|process| **process != Process::Killed)
@@ -83,7 +83,7 @@
             3 => node.clone().prop_map(Fault::Thaw),
             1 => node.clone().prop_map(Fault::Leave),
             3 => (node.clone(), node).prop_map(|(from, to)| Fault::CutOneWay(from, to)),
-            2 => (0..REGIONS).prop_map(Fault::PartRegion),
+            2 => (0..REGIONS).prop_map(Fault::PartitionRegion),
             1 => (0..40u32).prop_map(Fault::Lose),
             1 => (0..60u32).prop_map(Fault::Duplicate),
             2 => Just(Fault::Heal),
@@ -95,9 +95,9 @@
 
     fn preconditions(state: &Fleet, fault: &Fault) -> bool {
         match fault {
-            // One process stays, so that the others have somebody to join.
-            Fault::Kill(node) => !state.is(*node, Process::Killed) && state.alive() > 1,
-            Fault::Leave(node) => state.is(*node, Process::Running) && state.alive() > 1,
+            // One process stays, so that the others have a node to join.
+            Fault::Kill(node) => !state.is(*node, Process::Killed) && state.unkilled() > 1,
+            Fault::Leave(node) => state.is(*node, Process::Running) && state.unkilled() > 1,
             Fault::Start(node) => state.is(*node, Process::Killed),
             Fault::Freeze(node) => state.is(*node, Process::Running),
             Fault::Thaw(node) => state.is(*node, Process::Frozen),
@@ -123,14 +123,14 @@
     }
 }
 
-struct Fuzzed {
+struct MembershipTest {
     simulation: Simulation,
-    /// The greatest incarnation that each observer has held of each node.
+    /// The greatest incarnation of each node that each observer has recorded, by (observer, node).
     seen: BTreeMap<(NodeName, NodeName), Incarnation>,
 }
 
-impl Fuzzed {
-    fn carry_out(&mut self, fault: &Fault) {
+impl MembershipTest {
+    fn apply_fault(&mut self, fault: &Fault) {
         let simulation = &mut self.simulation;
         match fault {
             Fault::Kill(node) => simulation.kill(&name(*node)),
@@ -143,9 +143,9 @@
             Fault::Thaw(node) => simulation.thaw(&name(*node)),
             Fault::Leave(node) => simulation.leave(&name(*node)),
             Fault::CutOneWay(from, to) => simulation.cut(&name(*from), &name(*to)),
-            Fault::PartRegion(region) => {
+            Fault::PartitionRegion(region) => {
                 let region = locality(*region, 0).region;
-                simulation.part(|locality| locality.region == region);
+                simulation.partition(|locality| locality.region == region);
             }
             Fault::Lose(percent) => simulation.loss = f64::from(*percent) / 100.0,
             Fault::Duplicate(percent) => simulation.duplication = f64::from(*percent) / 100.0,
@@ -165,20 +165,23 @@
         simulation.assert_agreement();
     }
 
-    /// What a process holds about a node never goes back.
+    /// Asserts that the incarnation that a process records of a node never decreases.
     fn assert_incarnations_grow(&mut self) {
         for observer in self.simulation.running() {
             for member in self.simulation.nodes[&observer].membership.members() {
                 let key = (observer.clone(), member.node);
                 let seen = self.seen.entry(key).or_default();
-                assert!(*seen <= member.incarnation, "{observer} went back");
+                assert!(
+                    *seen <= member.incarnation,
+                    "{observer} recorded an older incarnation than {seen:?}"
+                );
                 *seen = member.incarnation;
             }
         }
     }
 }
 
-impl StateMachineTest for Fuzzed {
+impl StateMachineTest for MembershipTest {
     type SystemUnderTest = Self;
     type Reference = Model;
 
@@ -189,14 +192,14 @@
         }
     }
 
-    fn apply(mut fuzzed: Self, _fleet: &Fleet, fault: Fault) -> Self {
-        fuzzed.carry_out(&fault);
-        fuzzed.assert_incarnations_grow();
-        fuzzed
+    fn apply(mut test: Self, _fleet: &Fleet, fault: Fault) -> Self {
+        test.apply_fault(&fault);
+        test.assert_incarnations_grow();
+        test
     }
 
-    fn teardown(mut fuzzed: Self, _fleet: Fleet) {
-        fuzzed.settle();
+    fn teardown(mut test: Self, _fleet: Fleet) {
+        test.settle();
     }
 }
 
@@ -206,7 +209,7 @@
 
 static PRINT_ONCE: Once = Once::new();
 
-/// A fixed seed and number of cases, unless the environment gives others.
+/// A fixed seed and number of cases, unless `DYKETALLY_FUZZ_SEED` and `DYKETALLY_FUZZ_CASES` give others.
 fn runner() -> RunnerConfig {
     let number = |variable: &str, default: u64| {
         let text = std::env::var(variable).ok();
@@ -231,5 +234,5 @@
     #![proptest_config(runner())]
 
     #[test]
-    fn running_nodes_agree_after_healing(sequential 1..40 => Fuzzed);
+    fn running_nodes_agree_after_healing(sequential 1..40 => MembershipTest);
 }
--- a/crates/dyketally/tests/moves.rs
+++ b/crates/dyketally/tests/moves.rs
@@ -1,4 +1,4 @@
-//! When primaries may be moved to other regions.
+//! How often the primary of a group may be moved to another region.
 
 use dyketally::eligibility::Moves;
 use dyketally::identifiers::GroupName;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_group_is_moved_once_in_a_while() {
+fn a_group_is_moved_at_most_once_in_10_s() {
     let (orders, stock) = (GroupName::from("orders"), GroupName::from("stock"));
     let mut moves = Moves::default();
     assert!(moves.may_begin(&orders, at(0)));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_move_that_was_put_off_is_tried_again_soon() {
+fn a_deferred_move_may_begin_again_after_1_s() {
     let orders = GroupName::from("orders");
     let mut moves = Moves::default();
     moves.begun(&orders, at(0));
--- a/crates/dyketally/tests/placement.rs
+++ b/crates/dyketally/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: order of nodes, and how much moves when a node joins or leaves.
+//! Placement: the order of nodes, the homes that move when a node joins or leaves, relays, and shares of connections.
 
 use dyketally::identifiers::{DatabaseName, Locality, NodeName, TenantName};
 use dyketally::placement::{
@@ -64,7 +64,7 @@
     databases.iter().filter_map(home_of).collect()
 }
 
-/// Databases whose home differs, and those of them whose new or old home isn't `changed`.
+/// The number of databases whose home differs, and how many of them moved neither from nor to the node `changed`.
 fn moved(before: &[NodeName], after: &[NodeName], changed: &NodeName) -> (usize, usize) {
     let pairs: Vec<_> = before.iter().zip(after).filter(|(b, a)| b != a).collect();
     let needless = pairs.iter().filter(|(b, a)| *b != changed && *a != changed);
@@ -83,7 +83,7 @@
     let all: Vec<_> = (0..nodes).map(node).collect();
     let before = homes(&databases, &all);
     let mut most_moved = 0;
-    // A joining node is the same change seen backwards.
+    // A joining node is the same change in reverse.
     for left in (0..nodes).step_by(step) {
         let mut remaining = all.clone();
         let gone = remaining.remove(left);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_leaving_node_gives_up_only_its_own() {
+fn a_leaving_node_moves_only_its_own_databases() {
     let databases = databases(670);
     let mut nodes: Vec<_> = (0..61).map(node).collect();
     let before = homes(&databases, &nodes);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn zone_goes_before_region_goes_before_the_rest_and_leaving_last() {
+fn nodes_are_ranked_by_zone_then_region_and_leaving_last() {
     let mut nodes: Vec<_> = (0..24).map(node).collect();
     nodes[6].leaving = true;
     let ranked = rank(
@@ -153,7 +153,8 @@
     nodes[1].weight = 0;
     let homes = homes(&databases, &nodes);
     let share = |node: &Node| homes.iter().filter(|home| **home == node.name).count();
-    // Zone 0 holds nodes 0 and 6 and 1,000 databases: 3 to 1, so 750 within five deviations.
+    // Zone 0 holds nodes 0 and 6 and 1,000 databases. With weights of 3 to 1, node 0 gets 750 within five standard
+    // deviations.
     assert!(
         (680..=820).contains(&share(&nodes[0])),
         "{}",
@@ -180,8 +181,8 @@
     }
 }
 
-/// Two relays on the thinnest links of their zone took about a second for each change of a large
-/// configuration, while two nodes on links of 200 Mbit/s followed them.
+/// Relays on the thinnest links of their zone needed about 1 s to pass on each change of a large configuration, while
+/// nodes on links of 200 Mbit/s were among their followers.
 #[test]
 fn nodes_with_large_links_are_relays_first() {
     let mut nodes: Vec<_> = (0..60).map(node).collect();
@@ -202,7 +203,7 @@
     assert_eq!(first, expected);
     nodes[6].leaving = true;
     assert!(!chosen(&nodes, 3).contains(&nodes[6].name));
-    // Where homes are isn't decided by links.
+    // Links don't influence the choice of homes.
     let plain: Vec<_> = (0..60).map(node).collect();
     let databases = databases(100);
     nodes[6].leaving = false;
@@ -211,7 +212,7 @@
 
 #[rstest]
 #[case::half_as_much_again(100.0, 150.0)]
-#[case::none_and_next_to_none(0.0, 1.0)]
+#[case::zero_and_one_megabit(0.0, 1.0)]
 fn links_of_similar_size_are_of_one_class(#[case] one: f64, #[case] other: f64) {
     assert_eq!(LinkClass::of_megabits(one), LinkClass::of_megabits(other));
 }
@@ -240,10 +241,10 @@
 #[case::a_pair_never_needs_a_home(4, 2, Sharing::Everyone(1))]
 #[case::just_too_few(36, 9, Sharing::Homes { count: 2, each: 16 })]
 #[case::seventy_nodes(40, 73, Sharing::Homes { count: 3, each: 12 })]
-#[case::size_to_design_for(100, 610, Sharing::Homes { count: 7, each: 12 })]
-#[case::hardly_any(5, 100, Sharing::Homes { count: 1, each: 4 })]
+#[case::design_size(100, 610, Sharing::Homes { count: 7, each: 12 })]
+#[case::few_connections(5, 100, Sharing::Homes { count: 1, each: 4 })]
 #[case::none_at_all(0, 100, Sharing::Homes { count: 1, each: 1 })]
-fn connections_are_shared_out(
+fn connections_are_divided_among_nodes(
     #[case] granted: u32,
     #[case] nodes: usize,
     #[case] expected: Sharing,
@@ -251,10 +252,9 @@
     assert_eq!(Sharing::of(granted, nodes), expected);
 }
 
-/// All nodes together never have more connections than are granted, but for the few that nodes
-/// may open which reach no home.
+/// The homes together never have more connections than are granted. Nodes that reach no home may open a few more.
 #[test]
-fn what_is_shared_out_fits_into_what_is_granted() {
+fn shares_never_exceed_the_granted_connections() {
     for granted in 3..200 {
         for nodes in 1..300 {
             let sharing = Sharing::of(granted, nodes);
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn an_accountant_that_is_lost_is_followed_by_the_next() {
+fn the_next_accountant_takes_over_from_a_lost_one() {
     let nodes: Vec<Node> = (0..20).map(node).collect();
     for tenant in tenants(50) {
         let candidates = || nodes.iter().map(Node::candidate);
--- a/crates/dyketally/tests/pool.rs
+++ b/crates/dyketally/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Connection pool: reuse, refusals, shares and leaving, case by case.
+//! Connection pool: reuse, refusals by the database, shares of tenants, and databases that leave.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
 }
 
 /// A pool with `count` idle connections.
-fn warm(settings: PoolSettings, count: u32) -> Pool {
+fn pool_with_idle(settings: PoolSettings, count: u32) -> Pool {
     let mut pool = Pool::new(settings);
     for connection in opened(&pool.poll(at(0), count)) {
         assert_eq!(pool.connected(at(0), connection), None);
@@ -59,7 +59,7 @@
     pool.acquire(at(1), &tenant(name), 1)
 }
 
-fn learned(pool: &Pool) -> u32 {
+fn learned_limit(pool: &Pool) -> u32 {
     let PoolStatus { learned_limit, .. } = pool.status();
     learned_limit
 }
@@ -69,7 +69,7 @@
 #[case::minimum(40, 5, 0, 5)]
 #[case::limit(3, 5, 7, 3)]
 #[case::nothing(40, 0, 0, 0)]
-fn opens_what_is_missing(
+fn opens_missing_connections(
     #[case] limit: u32,
     #[case] minimum: u32,
     #[case] demand: u32,
@@ -77,7 +77,10 @@
 ) {
     let mut pool = Pool::new(settings(limit, minimum, 0));
     assert_eq!(opened(&pool.poll(at(0), demand)).len(), expected);
-    assert!(pool.poll(at(0), demand).is_empty(), "asked for twice");
+    assert!(
+        pool.poll(at(0), demand).is_empty(),
+        "a missing connection was opened twice"
+    );
 }
 
 #[rstest]
@@ -88,8 +91,8 @@
     #[case] closes: Option<()>,
     #[case] idle: usize,
 ) {
-    let mut pool = warm(settings(1, 0, 0), 1);
-    let connection = take(&mut pool, "a").expect("one is idle");
+    let mut pool = pool_with_idle(settings(1, 0, 0), 1);
+    let connection = take(&mut pool, "a").expect("a connection is idle");
     pool.pin(connection);
     assert_eq!(take(&mut pool, "b"), None);
     let action = pool.release(at(2), connection, condition);
@@ -104,7 +107,7 @@
 
 #[test]
 fn idle_connections_expire_down_to_the_minimum() {
-    let mut pool = warm(settings(40, 2, 0), 5);
+    let mut pool = pool_with_idle(settings(40, 2, 0), 5);
     assert!(pool.poll(at(9_999), 0).is_empty());
     assert_eq!(pool.next_wakeup(at(9_999)), Some(at(0) + IDLE_TIMEOUT));
     let actions = pool.poll(at(10_000), 0);
@@ -115,7 +118,7 @@
 
 #[test]
 fn refusals_lower_the_limit_and_time_raises_it() {
-    let mut pool = warm(settings(40, 0, 0), 20);
+    let mut pool = pool_with_idle(settings(40, 0, 0), 20);
     let mut random = StdRng::seed_from_u64(SEED);
     let refused = opened(&pool.poll(at(5_000), 30));
     assert_eq!(refused.len(), 10);
@@ -127,14 +130,18 @@
             &mut random,
         );
     }
-    assert_eq!(learned(&pool), 15, "refusals of one moment count once");
+    assert_eq!(
+        learned_limit(&pool),
+        15,
+        "refusals of one moment count once"
+    );
     pool.poll(at(7_000), 0);
-    assert_eq!(learned(&pool), 17);
+    assert_eq!(learned_limit(&pool), 17);
     pool.poll(at(100_000), 0);
-    assert_eq!(learned(&pool), 40);
+    assert_eq!(learned_limit(&pool), 40);
 }
 
-/// Two nodes that both take themselves for the home of one database.
+/// Two nodes that both act as the home of one database with a limit on connections.
 struct Rivals {
     limit: u32,
     granted: [u32; 2],
@@ -169,14 +176,14 @@
 }
 
 #[rstest]
-#[case::the_first_has_no_more_work(0, 30)]
-#[case::both_have_work(10, 20)]
+#[case::the_first_is_idle(0, 30)]
+#[case::both_are_busy(10, 20)]
 fn a_second_home_gets_what_the_first_does_not_use(#[case] first: u32, #[case] second: u32) {
     let settings = settings(40, 5, 5);
     let mut rivals = Rivals {
         limit: 40,
         granted: [40, 0],
-        pools: [warm(settings, 40), Pool::new(settings)],
+        pools: [pool_with_idle(settings, 40), Pool::new(settings)],
         random: StdRng::seed_from_u64(SEED),
     };
     for turn in 1..600 {
@@ -203,13 +210,13 @@
     let first = opened(&pool.poll(at(0), 1))[0];
     pool.refused(at(0), first, refusal, &mut random);
     assert!(pool.poll(at(0), 10).is_empty());
-    let after = pool.next_wakeup(at(0)).expect("it tries again");
+    let after = pool.next_wakeup(at(0)).expect("a retry is scheduled");
     assert!(after > at(0) && after <= at(20), "{after:?}");
     let probe = opened(&pool.poll(at(20), 10));
     assert_eq!(probe.len(), 1);
     pool.connected(at(20), probe[0]);
     let more = opened(&pool.poll(at(9_000), 5)).len();
-    assert_eq!(more, 4, "a granted connection ends the caution");
+    assert_eq!(more, 4, "a granted connection ends the backoff");
 }
 
 #[rstest]
@@ -220,7 +227,7 @@
     #[case] share_of_greedy: usize,
     #[case] share_of_victim: usize,
 ) {
-    let mut pool = warm(settings(40, 0, 5), 40);
+    let mut pool = pool_with_idle(settings(40, 0, 5), 40);
     let mut held = Vec::new();
     while let Some(connection) = take(&mut pool, "greedy") {
         pool.pin(connection);
@@ -233,12 +240,12 @@
             pool.pin(connection);
             held_by_victim += 1;
         }
-        let connection = held.pop().expect("it holds some");
+        let connection = held.pop().expect("the tenant holds connections");
         pool.release(at(2), connection, ReleaseCondition::Clean);
         assert_eq!(take(&mut pool, "greedy"), None, "at {} held", held.len());
     }
     assert_eq!(held_by_victim, share_of_victim);
-    let connection = held.pop().expect("it holds some");
+    let connection = held.pop().expect("the tenant holds connections");
     pool.release(at(3), connection, ReleaseCondition::Clean);
     assert!(
         take(&mut pool, "greedy").is_some(),
@@ -247,22 +254,22 @@
 }
 
 #[test]
-fn tenants_that_pin_all_they_can_leave_some_to_the_next() {
-    let mut pool = warm(settings(40, 0, 5), 40);
+fn tenants_that_pin_all_they_can_leave_connections_to_the_next() {
+    let mut pool = pool_with_idle(settings(40, 0, 5), 40);
     for name in ["first", "second", "third", "fourth"] {
         let mut held = 0;
         while let Some(connection) = take(&mut pool, name) {
             pool.pin(connection);
             held += 1;
         }
-        assert!(held > 0, "{name} found none");
+        assert!(held > 0, "{name} got no connection");
     }
 }
 
 #[test]
-fn a_leaving_database_gets_nothing_new() {
-    let mut pool = warm(settings(40, 5, 0), 5);
-    let pinned = take(&mut pool, "a").expect("one is idle");
+fn a_leaving_database_gets_no_new_statements_or_connections() {
+    let mut pool = pool_with_idle(settings(40, 5, 0), 5);
+    let pinned = take(&mut pool, "a").expect("a connection is idle");
     pool.pin(pinned);
     let connecting = opened(&pool.poll(at(1), 10));
     pool.leave();
@@ -292,8 +299,8 @@
 
 #[test]
 fn a_lost_connection_is_replaced() {
-    let mut pool = warm(settings(2, 0, 0), 2);
-    let lost = take(&mut pool, "a").expect("one is idle");
+    let mut pool = pool_with_idle(settings(2, 0, 0), 2);
+    let lost = take(&mut pool, "a").expect("a connection is idle");
     pool.closed(lost);
     assert!(pool.status().held[&tenant("a")] == 0);
     assert_eq!(opened(&pool.poll(at(1), 2)).len(), 1);
--- a/crates/dyketally/tests/pool_model.rs
+++ b/crates/dyketally/tests/pool_model.rs
@@ -38,26 +38,26 @@
         which: Index,
         dirty: bool,
     },
-    /// An attempt to connect ends: granted if the database has room and takes connections.
+    /// An attempt to connect ends. It succeeds if the database has a free connection and accepts new ones.
     Connect {
         which: Index,
-        takes: bool,
+        accepts: bool,
     },
     CloseEnds(Index),
     Lose(Index),
     Poll {
         demand: u32,
     },
-    Pass {
+    AdvanceClock {
         milliseconds: u64,
     },
-    /// Connections that others hold at the database.
+    /// Sets the number of connections that other nodes hold at the database.
     Others(u32),
     Leave,
     Readmit,
 }
 
-/// The steps alone: what follows from them is worked out next to the pool.
+/// The generator of steps. It keeps no state: `Harness` works out the expected results next to the pool.
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -75,11 +75,11 @@
             6 => (0..TENANTS).prop_map(|tenant| Step::Acquire { tenant }),
             2 => any::<Index>().prop_map(Step::Pin),
             4 => release.prop_map(|(which, dirty)| Step::Release { which, dirty }),
-            5 => connect.prop_map(|(which, takes)| Step::Connect { which, takes }),
+            5 => connect.prop_map(|(which, accepts)| Step::Connect { which, accepts }),
             3 => any::<Index>().prop_map(Step::CloseEnds),
             1 => any::<Index>().prop_map(Step::Lose),
             4 => (0_u32..10).prop_map(|demand| Step::Poll { demand }),
-            3 => (0_u64..1_500).prop_map(|milliseconds| Step::Pass { milliseconds }),
+            3 => (0_u64..1_500).prop_map(|milliseconds| Step::AdvanceClock { milliseconds }),
             1 => (0..LIMIT).prop_map(Step::Others),
             1 => Just(Step::Leave),
             2 => Just(Step::Readmit),
@@ -93,7 +93,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Seen {
+enum State {
     Connecting,
     Idle,
     Held { tenant: usize },
@@ -106,7 +106,7 @@
     now: Timestamp,
     others: u32,
     leaving: bool,
-    connections: BTreeMap<ConnectionId, Seen>,
+    connections: BTreeMap<ConnectionId, State>,
 }
 
 fn name(tenant: usize) -> TenantName {
@@ -114,30 +114,30 @@
 }
 
 impl Harness {
-    fn count(&self, is: impl Fn(Seen) -> bool) -> u32 {
+    fn count(&self, is: impl Fn(State) -> bool) -> u32 {
         let matching = self.connections.values().filter(|seen| is(**seen));
         matching.count() as u32
     }
 
     fn granted(&self) -> u32 {
-        self.count(|seen| seen != Seen::Connecting)
+        self.count(|seen| seen != State::Connecting)
     }
 
-    fn pick(&self, which: Index, is: impl Fn(Seen) -> bool) -> Option<ConnectionId> {
+    fn select(&self, which: Index, is: impl Fn(State) -> bool) -> Option<ConnectionId> {
         let matching = self.connections.iter().filter(|(_, seen)| is(**seen));
         let matching: Vec<ConnectionId> = matching.map(|(connection, _)| *connection).collect();
         (!matching.is_empty()).then(|| *which.get(&matching))
     }
 
-    fn pick_held(&self, which: Index) -> Option<ConnectionId> {
-        self.pick(which, |seen| matches!(seen, Seen::Held { .. }))
+    fn select_held(&self, which: Index) -> Option<ConnectionId> {
+        self.select(which, |seen| matches!(seen, State::Held { .. }))
     }
 
     fn acquire(&mut self, tenant: usize) {
-        let held = self.count(|seen| matches!(seen, Seen::Held { .. }));
+        let held = self.count(|seen| matches!(seen, State::Held { .. }));
         let Some(connection) = self.pool.acquire(self.now, &name(tenant), 1) else {
-            let held_by_tenant = self.count(|seen| seen == Seen::Held { tenant });
-            let idle = self.count(|seen| seen == Seen::Idle);
+            let held_by_tenant = self.count(|seen| seen == State::Held { tenant });
+            let idle = self.count(|seen| seen == State::Idle);
             let limit = self.pool.status().learned_limit;
             let refusable = self.leaving || idle == 0 || held >= limit || held_by_tenant > 0;
             assert!(
@@ -146,12 +146,12 @@
             );
             return;
         };
-        assert!(!self.leaving, "a leaving database got new work");
-        let before = self.connections.insert(connection, Seen::Held { tenant });
+        assert!(!self.leaving, "a leaving database got a new statement");
+        let before = self.connections.insert(connection, State::Held { tenant });
         assert_eq!(
             before,
-            Some(Seen::Idle),
-            "only an idle connection is given out"
+            Some(State::Idle),
+            "only an idle connection is acquired"
         );
     }
 
@@ -169,9 +169,9 @@
         self.settle(connection, action);
     }
 
-    fn connect(&mut self, connection: ConnectionId, takes: bool) {
+    fn connect(&mut self, connection: ConnectionId, accepts: bool) {
         let room = self.granted() + self.others < LIMIT;
-        if takes && room {
+        if accepts && room {
             let action = self.pool.connected(self.now, connection);
             self.settle(connection, action);
             return;
@@ -188,16 +188,16 @@
         let opens = actions
             .iter()
             .any(|it| matches!(it, PoolAction::Open { .. }));
-        assert!(!opens, "connects again at once after a refusal");
+        assert!(!opens, "the pool connects again at once after a refusal");
         self.perform(actions);
     }
 
     fn settle(&mut self, connection: ConnectionId, action: Option<PoolAction>) {
         let seen = match action {
-            None => Seen::Idle,
+            None => State::Idle,
             Some(action) => {
                 assert_eq!(action, PoolAction::Close { connection });
-                Seen::Closing
+                State::Closing
             }
         };
         self.connections.insert(connection, seen);
@@ -208,12 +208,16 @@
             match action {
                 PoolAction::Open { connection } => {
                     assert!(!self.leaving, "a leaving database gets no connection");
-                    let before = self.connections.insert(connection, Seen::Connecting);
+                    let before = self.connections.insert(connection, State::Connecting);
                     assert_eq!(before, None);
                 }
                 PoolAction::Close { connection } => {
-                    let before = self.connections.insert(connection, Seen::Closing);
-                    assert_eq!(before, Some(Seen::Idle), "only idle ones are retired");
+                    let before = self.connections.insert(connection, State::Closing);
+                    assert_eq!(
+                        before,
+                        Some(State::Idle),
+                        "only idle connections are retired"
+                    );
                 }
             }
         }
@@ -241,28 +245,28 @@
         match step {
             Step::Acquire { tenant } => harness.acquire(tenant),
             Step::Pin(which) => {
-                if let Some(connection) = harness.pick_held(which) {
+                if let Some(connection) = harness.select_held(which) {
                     harness.pool.pin(connection);
                 }
             }
             Step::Release { which, dirty } => {
-                if let Some(connection) = harness.pick_held(which) {
+                if let Some(connection) = harness.select_held(which) {
                     harness.release(connection, dirty);
                 }
             }
-            Step::Connect { which, takes } => {
-                if let Some(connection) = harness.pick(which, |seen| seen == Seen::Connecting) {
-                    harness.connect(connection, takes);
+            Step::Connect { which, accepts } => {
+                if let Some(connection) = harness.select(which, |seen| seen == State::Connecting) {
+                    harness.connect(connection, accepts);
                 }
             }
             Step::CloseEnds(which) => {
-                if let Some(connection) = harness.pick(which, |seen| seen == Seen::Closing) {
+                if let Some(connection) = harness.select(which, |seen| seen == State::Closing) {
                     harness.connections.remove(&connection);
                     harness.pool.closed(connection);
                 }
             }
             Step::Lose(which) => {
-                if let Some(connection) = harness.pick(which, |seen| seen != Seen::Closing) {
+                if let Some(connection) = harness.select(which, |seen| seen != State::Closing) {
                     harness.connections.remove(&connection);
                     harness.pool.closed(connection);
                 }
@@ -271,7 +275,7 @@
                 let actions = harness.pool.poll(harness.now, demand);
                 harness.perform(actions);
             }
-            Step::Pass { milliseconds } => {
+            Step::AdvanceClock { milliseconds } => {
                 harness.now = harness.now + Duration::from_millis(milliseconds);
             }
             Step::Others(others) => harness.others = others,
@@ -293,15 +297,15 @@
         assert!((1..=LIMIT).contains(&status.learned_limit));
         assert_eq!(
             status.connecting,
-            harness.count(|seen| seen == Seen::Connecting)
+            harness.count(|seen| seen == State::Connecting)
         );
-        assert_eq!(status.idle, harness.count(|seen| seen == Seen::Idle));
-        assert_eq!(status.closing, harness.count(|seen| seen == Seen::Closing));
-        let held = harness.count(|seen| matches!(seen, Seen::Held { .. }));
+        assert_eq!(status.idle, harness.count(|seen| seen == State::Idle));
+        assert_eq!(status.closing, harness.count(|seen| seen == State::Closing));
+        let held = harness.count(|seen| matches!(seen, State::Held { .. }));
         assert_eq!(status.busy + status.pinned, held);
         assert_eq!(status.counters.unexpected_reports, 0);
         for tenant in 0..TENANTS {
-            let seen = harness.count(|seen| seen == Seen::Held { tenant });
+            let seen = harness.count(|seen| seen == State::Held { tenant });
             let counted = status.held.get(&name(tenant)).copied().unwrap_or_default();
             assert_eq!(counted, seen);
         }
@@ -310,5 +314,5 @@
 
 prop_state_machine! {
     #[test]
-    fn connections_are_counted_and_given_out_once(sequential 1..200 => PoolTest);
+    fn connections_are_counted_and_acquired_once(sequential 1..200 => PoolTest);
 }
--- a/crates/dyketally/tests/queue_and_pool.rs
+++ b/crates/dyketally/tests/queue_and_pool.rs
@@ -1,4 +1,5 @@
-//! The fair queue and the pool of one database together, as a home drives them.
+//! The fair queue and the connection pool of one database together, as its home drives them, on a simulated clock in
+//! milliseconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +12,9 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
+/// Time to open a connection, in milliseconds.
 const CONNECT_TIME: u64 = 12;
+/// Longest simulated run, in milliseconds.
 const LONGEST_RUN: u64 = 600_000;
 
 /// A caller that runs its transactions one after the other.
@@ -84,14 +87,14 @@
         }
     }
 
-    /// Runs until every caller is done, or for far longer than they can need.
+    /// Runs until every caller is done, or for `LONGEST_RUN`, which is far longer than the callers can need.
     fn run(&mut self) {
         while self.now < LONGEST_RUN && !self.is_done() {
             self.step();
         }
     }
 
-    /// One millisecond.
+    /// Simulates one millisecond.
     fn step(&mut self) {
         self.connect();
         for session in 0..self.sessions.len() {
@@ -156,7 +159,9 @@
     fn end(&mut self, index: usize, ticket: Ticket) {
         assert!(self.queue.finished(at(self.now), ticket));
         let session = &mut self.sessions[index];
-        let connection = session.connection.expect("a statement runs on one");
+        let connection = session
+            .connection
+            .expect("a running statement has a connection");
         session.statement += 1;
         if session.statement < session.caller.transactions[session.transaction] {
             self.pool.pin(connection);
@@ -195,7 +200,7 @@
                 let connection = self.pool.acquire(at(self.now), &admitted.tenant, 1);
                 assert!(
                     connection.is_some(),
-                    "a slot was given without a connection"
+                    "a statement was admitted without a connection"
                 );
                 session.connection = connection;
             }
@@ -258,13 +263,13 @@
     ) {
         let mut home = Home::new(slots, limit, callers);
         home.run();
-        prop_assert!(home.is_done(), "stuck: {:?}", home.queue.status());
+        prop_assert!(home.is_done(), "callers are not done within the longest run; queue: {:?}", home.queue.status());
         prop_assert_eq!(home.pool.status().counters.unexpected_reports, 0);
     }
 }
 
 #[test]
-fn transactions_without_end_don_t_stop_single_statements_of_others() {
+fn endless_transactions_do_not_block_single_statements_of_others() {
     let endless = Caller {
         tenant: 0,
         transactions: vec![u32::MAX],
@@ -283,7 +288,8 @@
     while home.now < 30_000 && home.sessions[60].transaction < 100 {
         home.step();
     }
-    // Pause, busy time and a wait of 10 ms for each statement, and the connections to be opened.
-    let most = 100 * (10 + 5 + 10) + 1_000;
-    assert!(home.now <= most, "{} ms", home.now);
+    // Each statement takes a pause of 10 ms, 5 ms of busy time and a wait of up to 10 ms; opening connections takes up
+    // to 1 s.
+    let longest = 100 * (10 + 5 + 10) + 1_000;
+    assert!(home.now <= longest, "{} ms", home.now);
 }
--- a/crates/dyketally/tests/quota.rs
+++ b/crates/dyketally/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Quotas of tenants: the accountant's bucket, the part of a node that is alone, and, fuzzed, what a
-//! whole fleet runs in any window.
+//! Quotas of tenants: the accountant's bucket, the share of a node without an accountant and, by fuzzing, the
+//! operations that a whole fleet runs in any window of 5 s.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -64,25 +64,25 @@
 }
 
 #[test]
-fn those_who_are_refused_come_back_one_after_the_other() {
+fn refused_requests_get_increasing_retry_afters() {
     let quota = quota(2, 1);
     let mut accountant = Accountant::new(0);
     let now = Timestamp::from_millis(0);
     granted(accountant.decide(now, &tenant(), quota, 1, Role::Accountant, 1.0));
-    let mut returns =
+    let mut retry_afters =
         (0..3).map(
             |_| match accountant.decide(now, &tenant(), quota, 1, Role::Accountant, 1.0) {
                 Decision::Refused { retry_after } => retry_after,
                 granted => panic!("{granted:?}"),
             },
         );
-    assert_eq!(returns.next(), Some(Duration::from_millis(500)));
-    assert_eq!(returns.next(), Some(Duration::from_millis(1_000)));
-    assert_eq!(returns.next(), Some(Duration::from_millis(1_500)));
+    assert_eq!(retry_afters.next(), Some(Duration::from_millis(500)));
+    assert_eq!(retry_afters.next(), Some(Duration::from_millis(1_000)));
+    assert_eq!(retry_afters.next(), Some(Duration::from_millis(1_500)));
 }
 
 #[test]
-fn a_token_is_promised_for_when_it_is_there() {
+fn a_grant_may_wait_for_the_next_token() {
     let quota = quota(10, 1);
     let mut accountant = Accountant::new(0);
     let now = Timestamp::from_millis(0);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_lower_limit_holds_at_once() {
+fn a_lower_limit_applies_at_once() {
     let mut accountant = Accountant::new(0);
     let now = Timestamp::from_millis(0);
     accountant.decide(now, &tenant(), quota(100, 100), 1, Role::Accountant, 1.0);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_permit_that_was_not_used_serves_the_next_operation_for_a_moment() {
+fn an_unused_permit_is_kept_for_the_next_operation_for_a_while() {
     let mut allowance = Allowance::new(Timestamp::ZERO, 0.0);
     assert!(!allowance.take(Timestamp::ZERO));
     allowance.granted(Timestamp::ZERO, 1, false);
@@ -118,12 +118,17 @@
     assert!(!allowance.take(Timestamp::from_millis(1_000)));
 }
 
-/// One of 60 nodes that asks so often for 10 s, for a tenant of 60/s: its part is one a second.
+/// One of 60 nodes, without an accountant, requests an operation every `pause_ms` for 10 s, for a tenant with a quota
+/// of 60/s. The node's share is one operation a second.
 #[rstest]
-#[case::within_its_part(false, 1_250, 8)]
+#[case::within_its_share(false, 1_250, 8)]
 #[case::beyond(false, 10, 3)]
 #[case::strained(true, 10, 3)]
-fn a_node_alone_runs_its_part(#[case] strained: bool, #[case] pause_ms: u64, #[case] runs: usize) {
+fn a_node_without_an_accountant_runs_its_share(
+    #[case] strained: bool,
+    #[case] pause_ms: u64,
+    #[case] runs: usize,
+) {
     let quota = quota(60, 60);
     let mut allowance = Allowance::new(Timestamp::ZERO, 0.0);
     allowance.granted(Timestamp::ZERO, 1, strained);
@@ -134,28 +139,28 @@
     assert!((runs..=runs + 1).contains(&run.count()));
 }
 
-/// Nodes beyond the first few wait for their part before they run anything alone.
+/// When nodes lose the accountant, a few may run an operation at once; the others wait for their share of the rate.
 #[test]
-fn few_of_many_nodes_run_something_as_they_become_alone() {
+fn few_of_many_nodes_run_an_operation_as_they_lose_the_accountant() {
     let quota = quota(12, 12);
     let nodes = 610;
     let free = (0..nodes).filter(|node| {
-        let draw = f64::from(*node) / f64::from(nodes);
-        let mut allowance = Allowance::new(Timestamp::ZERO, draw);
+        let fraction = f64::from(*node) / f64::from(nodes);
+        let mut allowance = Allowance::new(Timestamp::ZERO, fraction);
         allowance.take_alone(Timestamp::ZERO, quota, nodes).is_ok()
     });
     assert_eq!(free.count(), 40);
 }
 
-/// What the fuzzed fleet leaves out.
+/// The mechanism that the fuzzed fleet leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Without {
     Nothing,
     /// An accountant that takes over begins with a full bucket.
     CautiousStart,
-    /// A node without an accountant runs what it likes.
-    PartOfARateAlone,
-    /// An accountant and its stand-ins hand out the whole rate whomever they reach.
+    /// A node without an accountant runs every operation.
+    ShareOfRateAlone,
+    /// An accountant and its stand-ins each grant the whole rate, however few nodes they reach.
     Reach,
 }
 
@@ -164,32 +169,33 @@
 const TOLERATED: u32 = 20;
 const WINDOW: Duration = Duration::from_secs(5);
 const LENGTH_MS: u64 = 30_000;
-/// How long a measured reach counts.
-const REACH_HOLDS: Duration = Duration::from_secs(1);
-/// How long a tenant is hot, or isn't.
+/// How long a measured reach is used before it is measured again.
+const REACH_VALID_FOR: Duration = Duration::from_secs(1);
+/// Length of the alternating phases in which a tenant is hot or not, in milliseconds.
 const HOT_MS: f64 = 6_500.0;
 
-/// A fleet whose nodes ask one of two nodes for permits, over a network that delays, cuts and splits.
+/// A fleet whose nodes request permits from one of two accountants, over a network that delays messages, cuts nodes off
+/// and splits.
 struct Fleet {
     rng: StdRng,
     quota: Quota,
     without: Without,
     accountants: [Accountant; 2],
     nodes: Vec<Allowance>,
-    /// Nodes that reach nobody.
+    /// Whether each node is cut off from all others.
     cut: Vec<bool>,
     /// Nodes up to this one are split off from the others, with a stand-in among them.
     split: usize,
-    /// Which of the two is the accountant.
+    /// The index of the acting accountant; the other one is the stand-in.
     acting: usize,
-    /// What each of the two knows of its reach, and since when.
+    /// When each of the two accountants last measured its reach, and the share of the nodes that it reached.
     reaches: [(Timestamp, f64); 2],
-    troubled: bool,
+    with_faults: bool,
     /// When operations ran.
     arrivals: VecDeque<Timestamp>,
     most: usize,
     refused: usize,
-    asked: usize,
+    requested: usize,
 }
 
 impl Fleet {
@@ -206,25 +212,25 @@
             split: 0,
             reaches: [(Timestamp::ZERO, 1.0); 2],
             acting: 0,
-            troubled: true,
+            with_faults: true,
             arrivals: VecDeque::new(),
             most: 0,
             refused: 0,
-            asked: 0,
+            requested: 0,
         }
     }
 
-    /// One operation at a node: asked for, and run if there is a permit.
+    /// Requests one operation at a random node, which runs it if there is a permit.
     fn ask(&mut self, now: Timestamp) {
         let node = self.rng.random_range(0..NODES);
-        self.asked += 1;
+        self.requested += 1;
         if self.nodes[node].take(now) {
             return self.run(now);
         }
         let alone = self.cut[node];
         if alone {
-            let part = self.nodes[node].take_alone(now, self.quota, NODES as u32);
-            match part.is_ok() || self.without == Without::PartOfARateAlone {
+            let share_granted = self.nodes[node].take_alone(now, self.quota, NODES as u32);
+            match share_granted.is_ok() || self.without == Without::ShareOfRateAlone {
                 true => self.run(now),
                 false => self.refused += 1,
             }
@@ -255,10 +261,10 @@
         }
     }
 
-    /// The share of the nodes that one of the two reaches, as it last found out.
+    /// The share of the nodes that one of the two accountants reaches, as last measured.
     fn reach(&mut self, now: Timestamp, index: usize, split_off: bool) -> f64 {
         let (since, _) = self.reaches[index];
-        if now.saturating_since(since) >= REACH_HOLDS {
+        if now.saturating_since(since) >= REACH_VALID_FOR {
             let reached = |node: &usize| !self.cut[*node] && (*node < self.split) == split_off;
             let reached = (0..NODES).filter(reached).count();
             self.reaches[index] = (now, reached as f64 / NODES as f64);
@@ -271,7 +277,7 @@
         self.arrivals.insert(first, at);
     }
 
-    /// The most operations in any window.
+    /// The largest number of operations in any window.
     fn measure(&mut self) -> usize {
         let mut oldest = 0;
         for newest in 0..self.arrivals.len() {
@@ -298,21 +304,20 @@
         }
     }
 
-    /// Plays a run in which the tenant by turns asks for the usual, 1/1.6 of the rate, and for `load`
-    /// times that.
+    /// Plays a run in which the tenant alternates between the usual load, 1/1.6 of its rate, and `load` times as much.
     fn play(&mut self, rate: u32, load: f64) {
         self.accountants = [self.new_accountant(), self.new_accountant()];
         let usual = f64::from(rate) / 1.6;
         let mut at_ms = 0.0;
-        let mut next_trouble = 3_000.0;
+        let mut next_fault = 3_000.0;
         while at_ms < LENGTH_MS as f64 {
             let is_hot = (at_ms / HOT_MS) as u64 % 2 == 1;
             let mean_ms = 1_000.0 / (usual * if is_hot { load } else { 1.0 });
             at_ms += -mean_ms * (1.0 - self.rng.random::<f64>()).ln();
             let now = Timestamp::from_micros((at_ms * 1_000.0) as u64);
             self.ask(now);
-            if self.troubled && at_ms > next_trouble {
-                next_trouble = at_ms + self.rng.random_range(5_000.0..9_000.0);
+            if self.with_faults && at_ms > next_fault {
+                next_fault = at_ms + self.rng.random_range(5_000.0..9_000.0);
                 match self.rng.random_range(0..4) {
                     0 => self.take_over(),
                     1 => self.split = self.rng.random_range(0..=NODES / 2),
@@ -332,7 +337,7 @@
     }
 }
 
-/// (rate x window + burst) x 1.1, and what is tolerated.
+/// The most operations that a window may hold: (rate x window + burst) x 1.1 + `TOLERATED`.
 fn allowed(rate: u32, burst: u32) -> usize {
     let base = f64::from(rate) * WINDOW.as_secs_f64() + f64::from(burst);
     (base * 1.1) as usize + TOLERATED as usize
@@ -359,30 +364,36 @@
 }
 
 #[rstest]
-#[case::alone(Without::PartOfARateAlone)]
+#[case::alone(Without::ShareOfRateAlone)]
 #[case::start(Without::CautiousStart)]
 #[case::reach(Without::Reach)]
-fn each_mechanism_is_missed(#[case] without: Without) {
+fn each_omitted_mechanism_causes_an_excess(#[case] without: Without) {
     let excess = worst_excess(200, 7.5, without);
-    assert!(excess > 0, "without {without:?} nothing breaks: {excess}");
+    assert!(
+        excess > 0,
+        "without {without:?} no window exceeds the limit: {excess}"
+    );
 }
 
-/// Shares refused at the usual load: with nodes that are cut off and accountants that change, and
-/// without any trouble.
+/// At the usual load, less than 5% is refused while nodes are cut off and accountants change, and less than 0.1%
+/// without faults.
 #[rstest]
 fn little_is_refused_at_the_usual_load(
     #[values(3, 12, 40, 200)] rate: u32,
-    #[values((true, 0.05), (false, 0.001))] (troubled, share): (bool, f64),
+    #[values((true, 0.05), (false, 0.001))] (with_faults, share): (bool, f64),
 ) {
-    let (mut refused, mut asked) = (0, 0);
+    let (mut refused, mut requested) = (0, 0);
     for seed in SEEDS {
         let mut fleet = Fleet::new(seed, quota(rate, rate), Without::Nothing);
-        fleet.troubled = troubled;
+        fleet.with_faults = with_faults;
         fleet.play(rate, 1.0);
         refused += fleet.refused;
-        asked += fleet.asked;
+        requested += fleet.requested;
     }
-    println!("{rate}/s, troubled {troubled}: {refused} of {asked}");
-    let limit = asked as f64 * share;
-    assert!((refused as f64) < limit, "{refused} of {asked} at {rate}/s");
+    println!("{rate}/s, with_faults {with_faults}: {refused} of {requested}");
+    let limit = requested as f64 * share;
+    assert!(
+        (refused as f64) < limit,
+        "{refused} of {requested} at {rate}/s"
+    );
 }
--- a/crates/dyketally/tests/retry.rs
+++ b/crates/dyketally/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: when a failed statement is sent again, and that retries stay a share of fresh work.
+//! Retries: when a failed statement is sent again, and that retries stay a fixed share of fresh statements.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
 #[case::may_not_run_twice(Attempt { repeat: Repeat::Never, ..attempt() }, 1, Some(GiveUpReason::NotRepeatable))]
 #[case::was_not_run(Attempt { repeat: Repeat::Never, may_have_run: false, ..attempt() }, 1, None)]
 #[case::deadline_now(Attempt { deadline: NOW, ..attempt() }, 1, Some(GiveUpReason::DeadlineTooNear))]
-#[case::told_to_come_back_too_late(Attempt { retry_after: Some(Duration::from_secs(6)), ..attempt() }, 1, Some(GiveUpReason::DeadlineTooNear))]
+#[case::retry_after_beyond_the_deadline(Attempt { retry_after: Some(Duration::from_secs(6)), ..attempt() }, 1, Some(GiveUpReason::DeadlineTooNear))]
 #[case::budget_spent(attempt(), 0, Some(GiveUpReason::BudgetSpent))]
 fn decides_by_outcome_deadline_and_budget(
     #[case] attempt: Attempt,
@@ -57,16 +57,16 @@
 }
 
 #[test]
-fn waits_at_least_as_long_as_it_was_told_to() {
-    let told = Duration::from_millis(700);
+fn waits_at_least_for_the_retry_after() {
+    let requested_wait = Duration::from_millis(700);
     let mut retrier = Retrier::new(RetrySettings::default());
     let mut random = StdRng::seed_from_u64(SEED);
-    let told_to_wait = Attempt {
-        retry_after: Some(told),
+    let attempt_with_wait = Attempt {
+        retry_after: Some(requested_wait),
         ..attempt()
     };
-    let decision = retrier.decide(NOW, &told_to_wait, &mut random);
-    assert_eq!(decision, Decision::RetryAt(NOW + told));
+    let decision = retrier.decide(NOW, &attempt_with_wait, &mut random);
+    assert_eq!(decision, Decision::RetryAt(NOW + requested_wait));
 }
 
 #[test]
@@ -101,7 +101,7 @@
 
 proptest! {
     #[test]
-    fn retries_stay_a_share_of_fresh_work(
+    fn retries_stay_a_share_of_fresh_statements(
         percent in 0_u32..=100,
         burst in 0_u32..50,
         fresh in prop::collection::vec(any::<bool>(), 0..2_000),
--- a/crates/dyketally/tests/routing.rs
+++ b/crates/dyketally/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes of an edge, and a home's decision to serve.
+//! Routes that an edge chooses, and a home's decision to serve a request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -86,7 +86,7 @@
         self.table.choose(request, attempt, now)
     }
 
-    /// `replica` lacked what a read needs.
+    /// Records that `replica` lacked the log position that a read needs.
     fn behind(&mut self, attempt: &mut Attempt, replica: &str, now: Timestamp) {
         let request = RouteRequest {
             group: &self.group,
@@ -104,7 +104,7 @@
 
 #[rstest]
 #[case::own_zone("z2", Access::Read, SEEN, "b")]
-#[case::own_zone_without_token_need("z3", Access::Read, Freshness::Any, "c")]
+#[case::own_zone_without_a_needed_position("z3", Access::Read, Freshness::Any, "c")]
 #[case::current_read("z2", Access::Read, Freshness::Current, "a")]
 #[case::write("z2", Access::Write, SEEN, "a")]
 fn first_choice(
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn unreachable_databases_are_passed_over_for_a_while() {
+fn unreachable_databases_are_excluded_until_reachable() {
     let mut edge = Edge::new("z2");
     let stock = GroupName::from("stock");
     edge.table.unreachable(&stock, &name("b"), at(0));
@@ -208,12 +208,12 @@
 #[case::status_older_than_connection(Access::Read, SEEN, 5, (1, 20), 100, ServeDecision::AskStatus)]
 #[case::behind_as_of_long_ago(Access::Read, SEEN, 50, (1, 9), 100, ServeDecision::AskStatus)]
 #[case::behind(Access::Read, SEEN, 100, (1, 9), 100, ServeDecision::WaitUntil(at(101)))]
-#[case::behind_and_time_to_ask(Access::Read, SEEN, 100, (1, 9), 101, ServeDecision::AskStatus)]
+#[case::behind_and_a_status_is_due(Access::Read, SEEN, 100, (1, 9), 101, ServeDecision::AskStatus)]
 #[case::behind_too_long(Access::Read, SEEN, 109, (1, 9), 110, ServeDecision::Redirect { primary: Some(name("a")), term: Term(1) })]
-fn a_replica_home_decides(
+fn a_home_of_a_replica_decides(
     #[case] access: Access,
     #[case] freshness: Freshness,
-    #[case] asked_at: u64,
+    #[case] status_at: u64,
     #[case] log: (u64, u64),
     #[case] now: u64,
     #[case] expected: ServeDecision,
@@ -221,10 +221,10 @@
     let mut view = GroupView::new(["a", "b", "c"].map(name));
     view.observe(at(4), &name("a"), status(Role::Primary, 1, (1, 20)), at(4));
     view.observe(
-        at(asked_at),
+        at(status_at),
         &name("b"),
         status(Role::Replica, 1, log),
-        at(asked_at),
+        at(status_at),
     );
     let request = ServeRequest {
         database: &name("b"),
@@ -241,7 +241,7 @@
 #[case::write(Access::Write, SEEN, ServeDecision::Serve)]
 #[case::current(Access::Read, Freshness::Current, ServeDecision::ServeConfirmed { term: Term(2) })]
 #[case::position_that_was_lost(Access::Read, SEEN, ServeDecision::ServeConfirmed { term: Term(2) })]
-fn a_primary_home_decides(
+fn a_home_of_a_primary_decides(
     #[case] access: Access,
     #[case] freshness: Freshness,
     #[case] expected: ServeDecision,
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_write_that_was_run_tells_the_primary_so_that_reads_leave_it() {
+fn a_write_that_ran_identifies_the_primary_and_reads_avoid_it() {
     let mut edge = Edge::new("z1");
     edge.table = RouteTable::new(RouteSettings::default());
     assert_eq!(edge.first(Access::Read, SEEN), Route::Send(name("a")));
@@ -278,8 +278,9 @@
     );
 }
 
-/// The primary is `a`; the replica `b` of the edge's own zone is asked first.
-fn edge_before_replicas(behind: &[&str], attempt: &mut Attempt) -> Edge {
+/// An edge for which the replicas `behind` lacked what a read needs. The primary is `a`; the replica `b` is in the
+/// edge's own zone and preferred.
+fn edge_with_replicas_behind(behind: &[&str], attempt: &mut Attempt) -> Edge {
     let mut edge = Edge::new("z2");
     for replica in behind {
         edge.behind(attempt, replica, at(0));
@@ -293,7 +294,7 @@
 #[case::another(&["c"], "b")]
 #[case::all(&["b", "c"], "b")]
 fn replicas_that_are_behind_come_last_for_a_while(#[case] behind: &[&str], #[case] first: &str) {
-    let mut edge = edge_before_replicas(behind, &mut Attempt::default());
+    let mut edge = edge_with_replicas_behind(behind, &mut Attempt::default());
     assert_eq!(edge.first(Access::Read, SEEN), Route::Send(name(first)));
     let later = at(0) + RouteSettings::default().behind_for;
     let again = edge.choose(Access::Read, SEEN, &mut Attempt::default(), later);
@@ -303,9 +304,9 @@
 #[rstest]
 #[case::one(&["b"], "c")]
 #[case::both(&["b", "c"], "a")]
-fn a_read_goes_on_to_a_replica_that_may_be_fresh(#[case] behind: &[&str], #[case] next: &str) {
+fn a_read_continues_at_a_replica_that_may_be_fresh(#[case] behind: &[&str], #[case] next: &str) {
     let mut attempt = Attempt::default();
-    let mut edge = edge_before_replicas(behind, &mut attempt);
+    let mut edge = edge_with_replicas_behind(behind, &mut attempt);
     let route = edge.choose(Access::Read, SEEN, &mut attempt, at(0));
     assert_eq!(route, Route::Send(name(next)));
 }
--- a/crates/dyketally/tests/session.rs
+++ b/crates/dyketally/tests/session.rs
@@ -1,4 +1,4 @@
-//! Session tokens and the edge's record of a session.
+//! Session tokens, and the state that an edge keeps of a session.
 
 use dyketally::group::{LogPosition, Term};
 use dyketally::identifiers::{DatabaseName, GroupName};
@@ -44,7 +44,7 @@
 #[rstest]
 #[case::nothing_seen(&[], None)]
 #[case::one(&["v1:stock:1:7"], Some((1, 7)))]
-#[case::never_back(&["v1:stock:1:7", "v1:stock:1:5"], Some((1, 7)))]
+#[case::earlier_position_is_ignored(&["v1:stock:1:7", "v1:stock:1:5"], Some((1, 7)))]
 #[case::later_term_wins(&["v1:stock:1:9", "v1:stock:2:8"], Some((2, 8)))]
 #[case::another_group(&["v1:stock:1:7", "v1:lobby:3:9"], None)]
 fn offered_tokens_decide_freshness(#[case] tokens: &[&str], #[case] seen: Option<(u64, u64)>) {
--- a/crates/dyketally/tests/simulation/mod.rs
+++ b/crates/dyketally/tests/simulation/mod.rs
@@ -15,7 +15,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Datagrams that wait for a frozen process, as a socket buffer would keep them.
+/// Most datagrams that are kept for a frozen process, as in a socket buffer.
 const SOCKET_BUFFER: usize = 64;
 
 const LATENCY_IN_ZONE: Duration = Duration::from_micros(300);
@@ -51,9 +51,11 @@
 pub struct Simulation {
     pub now: Timestamp,
     pub nodes: BTreeMap<NodeName, Node>,
-    /// Chance of a datagram to be lost, to arrive twice, and longest extra delay.
+    /// Probability that a datagram is lost.
     pub loss: f64,
+    /// Probability that a datagram arrives twice.
     pub duplication: f64,
+    /// Longest extra delay of a datagram.
     pub jitter: Duration,
     config: Config,
     rng: StdRng,
@@ -111,7 +113,7 @@
         simulation
     }
 
-    /// Starts a process, after an earlier one of that name was killed.
+    /// Starts a process. An earlier one of that name must have been killed.
     pub fn start(&mut self, node: NodeName, locality: Locality) {
         let address = SocketAddr::from(([10, 0, 0, 1], self.next_port));
         self.next_port += 1;
@@ -176,7 +178,7 @@
         self.reschedule(node);
     }
 
-    /// Lets a frozen process go on: it first reads what its socket has kept.
+    /// Resumes a frozen process, which first reads the datagrams kept in its buffer.
     pub fn thaw(&mut self, node: &NodeName) {
         let state = self.nodes.get_mut(node).expect("known node");
         if state.process != Process::Frozen {
@@ -193,30 +195,30 @@
     pub fn announce_leaving(&mut self, node: &NodeName) {
         let now = self.now;
         let outputs = self.membership(node).announce_leaving(now);
-        self.take(node.clone(), outputs);
+        self.perform(node.clone(), outputs);
     }
 
-    /// Tells that the node is gone, and ends its process.
+    /// Has the node announce that it has left, and ends its process.
     pub fn leave(&mut self, node: &NodeName) {
         let now = self.now;
         let outputs = self.membership(node).leave(now);
-        self.take(node.clone(), outputs);
+        self.perform(node.clone(), outputs);
         self.kill(node);
     }
 
     pub fn set_revision(&mut self, node: &NodeName, revision: u64) {
         let now = self.now;
         let outputs = self.membership(node).set_revision(now, Revision(revision));
-        self.take(node.clone(), outputs);
+        self.perform(node.clone(), outputs);
     }
 
-    /// Loses everything from `from` to `to`.
+    /// Drops all datagrams from `from` to `to`.
     pub fn cut(&mut self, from: &NodeName, to: &NodeName) {
         self.cut.insert((from.clone(), to.clone()));
     }
 
-    /// Loses everything between nodes of different sides.
-    pub fn part(&mut self, side: impl Fn(&Locality) -> bool) {
+    /// Drops all datagrams between nodes on different sides.
+    pub fn partition(&mut self, side: impl Fn(&Locality) -> bool) {
         let nodes: Vec<_> = self
             .nodes
             .iter()
@@ -260,7 +262,7 @@
         arrival.into_iter().chain(deadline).min()
     }
 
-    /// Notes anew when a node is due.
+    /// Updates the time at which a node is due.
     fn reschedule(&mut self, node: &NodeName) {
         let state = self.nodes.get_mut(node).expect("known node");
         if let Some(due) = state.due.take() {
@@ -290,7 +292,7 @@
             Process::Running => {
                 state.bytes_received += bytes.len();
                 let outputs = state.membership.handle_datagram(self.now, from, bytes);
-                self.take(node, outputs.unwrap_or_default());
+                self.perform(node, outputs.unwrap_or_default());
             }
             Process::Frozen if state.buffer.len() < SOCKET_BUFFER => {
                 state.buffer.push((from, bytes.to_vec()));
@@ -306,11 +308,11 @@
             }
             let now = self.now;
             let outputs = self.membership(&node).tick(now);
-            self.take(node, outputs);
+            self.perform(node, outputs);
         }
     }
 
-    fn take(&mut self, node: NodeName, outputs: Vec<Output>) {
+    fn perform(&mut self, node: NodeName, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
@@ -388,8 +390,8 @@
             .count()
     }
 
-    /// Asserts what must hold once all is healed and quiet: running nodes hold exactly the running
-    /// nodes live, except that a region without any running node may be merely unreachable.
+    /// Asserts what must hold once all faults are healed and the network is quiet: running nodes regard exactly the
+    /// running nodes as live, except that nodes of a region without any running node may be merely unreachable.
     pub fn assert_agreement(&self) {
         let running = self.running();
         let region_runs = |locality: &Locality| {
@@ -404,7 +406,7 @@
                 let live = matches!(state, Some(MemberState::Alive | MemberState::Leaving));
                 assert!(
                     live,
-                    "{observer} holds the running {node} {state:?} at {:?}",
+                    "{observer} regards the running {node} as {state:?} at {:?}",
                     self.now
                 );
             }
@@ -416,7 +418,7 @@
                     is_running
                         || !member.state.is_live()
                             && (member.state != MemberState::Unreachable || excused),
-                    "{observer} holds {} {:?} at {:?}",
+                    "{observer} regards {}, which isn't running, as {:?} at {:?}",
                     member.node,
                     member.state,
                     self.now
@@ -426,7 +428,7 @@
             assert_eq!(
                 membership.digest(),
                 first.digest(),
-                "{observer} and {} differ",
+                "the digests of {observer} and {} differ",
                 running[0]
             );
         }
--- a/crates/dyketally/tests/slow_start.rs
+++ b/crates/dyketally/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: what a whole fleet sends to a cold database in any second, fuzzed against an oracle that
-//! counts, and how its rate is shared out.
+//! Slow start: how the rate of a cold database is divided among nodes and, by fuzzing against an oracle that counts,
+//! how many requests a whole fleet sends to a cold database in any second.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -17,7 +17,7 @@
     overrun: 1.5,
     slack: 5.0,
 };
-/// Requests of one batch.
+/// Most requests in one batch.
 const BATCH: u32 = 3;
 
 fn rule(per_second: u32, lasts_ms: u64) -> SlowStart {
@@ -37,7 +37,7 @@
 #[case::four(4, 2)]
 #[case::twenty(20, 3)]
 #[case::many(200, 3)]
-fn as_many_share_a_rate_as_leave_it_whole(#[case] rate: u32, #[case] holders: usize) {
+fn holders_together_send_at_the_full_rate(#[case] rate: u32, #[case] holders: usize) {
     let budget = Budget::of(OperationRate::per_second(rate), MARGIN);
     assert_eq!(budget.holders, holders);
     let all = holders as f64 / budget.interval.as_secs_f64();
@@ -98,7 +98,7 @@
     );
 }
 
-/// A connection that broke casts doubt, which an older one that answers lifts.
+/// A connection that broke may mean a restart, which an answer on a connection opened earlier rules out.
 #[test]
 fn a_connection_that_lasted_shows_that_the_database_has_run_all_the_time() {
     let mut throttle = Throttle::default();
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_start_that_nobody_announces_in_time_has_not_happened() {
+fn a_restart_that_is_not_announced_in_time_is_ruled_out() {
     let mut throttle = Throttle::default();
     throttle.set_rule(Some(rule(20, 15_000)), MARGIN);
     throttle.warmth().announced(seconds(0.0), Duration::ZERO);
@@ -129,13 +129,13 @@
     let just_before = Some(seconds(11.4));
     assert_eq!(throttle.pace(seconds(14.0), just_before), Pace::Elsewhere);
     assert_eq!(throttle.pace(seconds(14.0), None), Pace::Elsewhere);
-    let heard = Some(seconds(11.5));
-    assert_eq!(throttle.pace(seconds(14.0), heard), Pace::Free);
+    let in_time = Some(seconds(11.5));
+    assert_eq!(throttle.pace(seconds(14.0), in_time), Pace::Free);
 }
 
-/// Reads come back to a database that has warmed up little by little.
+/// The share of reads sent to a database that has warmed up at 6 s rises from 0 at 6 s to 1 at 8 s.
 #[test]
-fn reads_come_back_by_a_ramp() {
+fn reads_return_along_a_ramp() {
     let mut throttle = Throttle::default();
     throttle.set_rule(Some(rule(20, 15_000)), MARGIN);
     throttle
@@ -146,64 +146,64 @@
     assert_eq!(shares, [0.0, 0.0, 0.5, 1.0]);
 }
 
-/// What the fuzzed fleet leaves out.
+/// The mechanism that the fuzzed fleet leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Without {
     Nothing,
-    /// A new holder doesn't wait for its predecessor.
+    /// A new holder doesn't wait until its predecessor has stopped.
     Tenure,
-    /// A node uses its part although it doesn't hear the store.
-    Hearing,
-    /// A holder doesn't keep its requests apart.
+    /// A node uses its share although it is out of contact with the store.
+    StoreContact,
+    /// A holder doesn't space its requests.
     Pacing,
-    /// A connection that breaks doesn't make a database doubtful.
-    Doubt,
-    /// Nodes beside the holders send as well.
+    /// A connection that breaks isn't treated as a possible restart of the database.
+    PossibleRestart,
+    /// Nodes that aren't holders send as well.
     Holders,
 }
 
 const NODES: usize = 12;
-/// Longest time by which what a node hears of the store is old while it takes itself for in touch.
-const HEARS_LATE_MS: u64 = 2_900;
-/// How long a node catches up that didn't hear the store for a while.
-const CATCHES_UP_MS: u64 = 3_000;
-/// Age of what it hears of the store as a rule, at most.
-const LAGS_MS: u64 = 1_000;
-/// Longest time after its start at which a database announces it.
-const ANNOUNCES_LATE_MS: u64 = 450;
+/// Age, in milliseconds, of a node's view of the store from which the node counts as out of contact.
+const OUT_OF_CONTACT_MS: u64 = 2_900;
+/// How long a node catches up after it was out of contact with the store, in milliseconds.
+const CATCH_UP_MS: u64 = 3_000;
+/// Largest usual age of a node's view of the store, in milliseconds.
+const USUAL_VIEW_AGE_MS: u64 = 1_000;
+/// Longest time, in milliseconds, from a database's start to its announcement.
+const ANNOUNCE_DELAY_MS: u64 = 450;
 const STEP_MS: u64 = 5;
 
 #[derive(Clone, Debug)]
-enum News {
+enum StoreUpdate {
     Listed(Vec<usize>),
     Started { cold_for_ms: u64 },
 }
 
 struct Node {
     throttle: Throttle,
-    /// Speed of its clock.
+    /// Rate of the node's clock; 1.0 is true time.
     speed: f64,
     frozen_until: u64,
-    /// Until when it hears nothing of the store.
-    deaf_until: u64,
-    /// How old what it hears of the store is, now.
-    lag_ms: u64,
-    /// Changes that it has taken in.
-    heard: usize,
-    /// Since when it hears the store without a gap that it noticed.
-    hears_since: u64,
+    /// Until when the node receives nothing from the store, in milliseconds.
+    cut_off_until: u64,
+    /// The current age of the node's view of the store, in milliseconds.
+    view_age_ms: u64,
+    /// Number of updates that the node has received.
+    received: usize,
+    /// Since when the node has been in contact with the store without a gap that it noticed, in milliseconds.
+    in_contact_since: u64,
     opened: Option<u64>,
 }
 
-/// A fleet that sends all that it may to one database, which starts again and again.
+/// A fleet that sends all that it may to one database, which restarts again and again.
 struct Fleet {
     rng: StdRng,
     rule: SlowStart,
     without: Without,
     nodes: Vec<Node>,
     listed: Vec<usize>,
-    /// What the store told, and when.
-    news: Vec<(u64, News)>,
+    /// The updates of the store, with their times in milliseconds.
+    updates: Vec<(u64, StoreUpdate)>,
     started: u64,
     down_until: u64,
     /// Requests that arrived while the database was cold.
@@ -220,9 +220,9 @@
             without,
             nodes: Vec::new(),
             listed: (0..NODES).collect(),
-            news: vec![
-                (0, News::Listed((0..NODES).collect())),
-                (0, News::Started { cold_for_ms: 0 }),
+            updates: vec![
+                (0, StoreUpdate::Listed((0..NODES).collect())),
+                (0, StoreUpdate::Started { cold_for_ms: 0 }),
             ],
             started: 0,
             down_until: 0,
@@ -241,10 +241,10 @@
             throttle,
             speed: self.rng.random_range(0.98..1.02),
             frozen_until: 0,
-            deaf_until: 0,
-            lag_ms: self.rng.random_range(0..LAGS_MS),
-            heard: 0,
-            hears_since: now,
+            cut_off_until: 0,
+            view_age_ms: self.rng.random_range(0..USUAL_VIEW_AGE_MS),
+            received: 0,
+            in_contact_since: now,
             opened: None,
         }
     }
@@ -257,113 +257,116 @@
         Timestamp::from_micros((now as f64 * self.nodes[node].speed * 1_000.0) as u64)
     }
 
-    fn trouble(&mut self, now: u64) {
+    fn inject_fault(&mut self, now: u64) {
         let node = self.rng.random_range(0..NODES);
         let time = self.rng.random_range(500..8_000);
         match self.rng.random_range(0..8) {
             0 | 1 => self.restart_database(now),
             2 => {
                 self.listed.retain(|listed| *listed != node);
-                self.tell_list(now);
+                self.publish_list(now);
             }
             3 => {
                 if !self.listed.contains(&node) {
-                    // The place in the list is that of a rendezvous: any.
+                    // By rendezvous hashing the node may have any place in the list.
                     let place = self.rng.random_range(0..=self.listed.len().min(2));
                     self.listed.insert(place, node);
-                    self.tell_list(now);
+                    self.publish_list(now);
                 }
             }
             4 => self.nodes[node].frozen_until = now + time,
-            5 => self.nodes[node].deaf_until = now + time,
+            5 => self.nodes[node].cut_off_until = now + time,
             6 => {
                 for node in 0..NODES / 2 {
-                    self.nodes[node].deaf_until = now + time;
+                    self.nodes[node].cut_off_until = now + time;
                 }
             }
             _ => self.nodes[node] = self.new_node(now),
         }
     }
 
-    fn tell_list(&mut self, now: u64) {
+    fn publish_list(&mut self, now: u64) {
         let listed = self.listed.clone();
-        self.news.push((now, News::Listed(listed)));
+        self.updates.push((now, StoreUpdate::Listed(listed)));
     }
 
     fn restart_database(&mut self, now: u64) {
         let down = self.rng.random_range(200..3_000);
         self.down_until = now + down;
         self.started = now + down;
-        let told = self.started + self.rng.random_range(0..ANNOUNCES_LATE_MS);
+        let announced_at = self.started + self.rng.random_range(0..ANNOUNCE_DELAY_MS);
         let lasts = self.rule.cold_for.as_millis() as u64;
-        let cold_for_ms = (self.started + lasts).saturating_sub(told);
-        self.news.push((told, News::Started { cold_for_ms }));
-        self.news.sort_by_key(|(at, _)| *at);
+        let cold_for_ms = (self.started + lasts).saturating_sub(announced_at);
+        self.updates
+            .push((announced_at, StoreUpdate::Started { cold_for_ms }));
+        self.updates.sort_by_key(|(at, _)| *at);
         for node in 0..NODES {
             self.nodes[node].opened = None;
             let clock = self.clock(node, now);
-            if self.without != Without::Doubt {
+            if self.without != Without::PossibleRestart {
                 self.nodes[node].throttle.warmth().doubted(clock);
             }
         }
     }
 
-    /// Takes in what reaches a node by now; the time up to which it knows all that the store held, unless
-    /// it doesn't hear the store or is catching up.
-    fn hear(&mut self, node: usize, now: u64) -> Option<u64> {
-        if now < self.nodes[node].deaf_until {
-            self.nodes[node].lag_ms += STEP_MS;
-            let lag = self.nodes[node].lag_ms;
-            return (lag < HEARS_LATE_MS).then(|| now.saturating_sub(lag));
+    /// Delivers the updates that reach a node by now. Returns the time up to which the node knows all that the store
+    /// held, or `None` while the node is out of contact or catching up.
+    fn receive_updates(&mut self, node: usize, now: u64) -> Option<u64> {
+        if now < self.nodes[node].cut_off_until {
+            self.nodes[node].view_age_ms += STEP_MS;
+            let view_age = self.nodes[node].view_age_ms;
+            return (view_age < OUT_OF_CONTACT_MS).then(|| now.saturating_sub(view_age));
         }
-        if self.nodes[node].lag_ms >= HEARS_LATE_MS {
-            self.nodes[node].hears_since = now + CATCHES_UP_MS;
+        if self.nodes[node].view_age_ms >= OUT_OF_CONTACT_MS {
+            self.nodes[node].in_contact_since = now + CATCH_UP_MS;
         }
-        if self.nodes[node].lag_ms > LAGS_MS {
-            self.nodes[node].lag_ms = self.rng.random_range(0..LAGS_MS);
+        if self.nodes[node].view_age_ms > USUAL_VIEW_AGE_MS {
+            self.nodes[node].view_age_ms = self.rng.random_range(0..USUAL_VIEW_AGE_MS);
         }
-        let reaches = now.saturating_sub(self.nodes[node].lag_ms);
+        let reaches = now.saturating_sub(self.nodes[node].view_age_ms);
         let clock = self.clock(node, now);
-        while let Some((at, told)) = self.news.get(self.nodes[node].heard).cloned()
+        while let Some((at, update)) = self.updates.get(self.nodes[node].received).cloned()
             && at <= reaches
         {
-            self.nodes[node].heard += 1;
+            self.nodes[node].received += 1;
             let throttle = &mut self.nodes[node].throttle;
-            match told {
-                News::Listed(listed) => {
+            match update {
+                StoreUpdate::Listed(listed) => {
                     let holds = holders(self.rule, &listed).contains(&node);
                     throttle.hold(clock, holds);
                 }
-                News::Started { cold_for_ms } => {
+                StoreUpdate::Started { cold_for_ms } => {
                     let cold_for = Duration::from_millis(cold_for_ms);
                     throttle.warmth().announced(clock, cold_for);
                 }
             }
         }
-        (now >= self.nodes[node].hears_since).then_some(reaches)
+        (now >= self.nodes[node].in_contact_since).then_some(reaches)
     }
 
     fn step(&mut self, node: usize, now: u64) {
         if now < self.nodes[node].frozen_until {
-            // What it last heard grows old while it stands still.
-            self.nodes[node].lag_ms += STEP_MS;
+            // The node's view of the store ages while the process is paused.
+            self.nodes[node].view_age_ms += STEP_MS;
             return;
         }
         let clock = self.clock(node, now);
-        let heard = self.hear(node, now).map(|heard| self.clock(node, heard));
-        let heard = match self.without {
-            Without::Hearing => Some(heard.unwrap_or(clock)),
-            _ => heard,
+        let known_at = self
+            .receive_updates(node, now)
+            .map(|known_at| self.clock(node, known_at));
+        let known_at = match self.without {
+            Without::StoreContact => Some(known_at.unwrap_or(clock)),
+            _ => known_at,
         };
         if now < self.down_until {
-            if self.without != Without::Doubt {
+            if self.without != Without::PossibleRestart {
                 self.nodes[node].throttle.warmth().doubted(clock);
             }
             return;
         }
-        let pace = self.nodes[node].throttle.pace(clock, heard);
+        let pace = self.nodes[node].throttle.pace(clock, known_at);
         let may = match pace {
-            // Of warm databases only the moment matters.
+            // Requests to a warm database aren't counted; a few suffice to reach the moment at which it turns cold.
             Pace::Free => self.rng.random_bool(0.05),
             Pace::After(wait) => wait.is_zero() || self.without == Without::Pacing,
             Pace::Elsewhere => self.without == Without::Holders && self.rng.random_bool(0.05),
@@ -400,11 +403,11 @@
     }
 
     fn play(&mut self, length_ms: u64) {
-        let mut next_trouble = 12_000;
+        let mut next_fault = 12_000;
         for now in (0..length_ms).step_by(STEP_MS as usize) {
-            if now >= next_trouble {
-                next_trouble = now + self.rng.random_range(200..4_000);
-                self.trouble(now);
+            if now >= next_fault {
+                next_fault = now + self.rng.random_range(200..4_000);
+                self.inject_fault(now);
             }
             let mut order: Vec<usize> = (0..NODES).collect();
             let first = *order.choose(&mut self.rng).unwrap_or(&0);
@@ -416,13 +419,13 @@
     }
 }
 
-/// Those that send to a cold database, by a list.
+/// The nodes that send to a cold database, by the list of nodes.
 fn holders(rule: SlowStart, listed: &[usize]) -> Vec<usize> {
     let count = Budget::of(rule.rate, MARGIN).holders;
     listed.iter().copied().take(count).collect()
 }
 
-/// True when a holder would send if it were settled.
+/// True when a holder would send if its predecessor had stopped for certain.
 fn held_pace_is_due(throttle: Throttle, clock: Timestamp) -> bool {
     let mut later = throttle;
     let pace = later.pace(clock + TAKE_OVER_AFTER, Some(clock));
@@ -431,7 +434,7 @@
 
 const SEEDS: std::ops::Range<u64> = 0..40;
 
-/// The most requests of any second beyond what is allowed, and all that cold databases got.
+/// By how much the requests in the worst second exceed the limit, and the total of requests sent to cold databases.
 fn worst_excess(rate: u32, lasts_ms: u64, without: Without) -> (i64, u64) {
     let allowed = (f64::from(rate) * MARGIN.overrun + MARGIN.slack) as i64;
     let mut most = 0;
@@ -458,11 +461,14 @@
 
 #[rstest]
 #[case::tenure(Without::Tenure)]
-#[case::hearing(Without::Hearing)]
+#[case::store_contact(Without::StoreContact)]
 #[case::pacing(Without::Pacing)]
-#[case::doubt(Without::Doubt)]
+#[case::possible_restart(Without::PossibleRestart)]
 #[case::holders(Without::Holders)]
-fn each_mechanism_is_missed(#[case] without: Without) {
+fn each_omitted_mechanism_causes_an_excess(#[case] without: Without) {
     let (excess, _) = worst_excess(20, 15_000, without);
-    assert!(excess > 0, "without {without:?} nothing breaks: {excess}");
+    assert!(
+        excess > 0,
+        "without {without:?} no second exceeds the limit: {excess}"
+    );
 }
--- a/crates/dyketally/tests/slow_start_at_size.rs
+++ b/crates/dyketally/tests/slow_start_at_size.rs
@@ -1,4 +1,4 @@
-//! Slow start at full size: 610 nodes, 670 databases, 200 of them cold at once.
+//! Slow start at the design size: 610 nodes and 670 databases, of which 200 are cold at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,18 +18,19 @@
 const COLD: usize = 200;
 const ZONES: usize = 6;
 const RATE: u32 = 20;
-/// What callers ask of each cold database, in requests a second.
-const ASKED: f64 = 30.0;
+/// Load that callers offer to each cold database, in requests a second.
+const OFFERED: f64 = 30.0;
 const MARGIN: Margin = Margin {
     overrun: 1.5,
     slack: 5.0,
 };
-const RULE_LASTS: Duration = Duration::from_secs(15);
+const COLD_FOR: Duration = Duration::from_secs(15);
 const STEP_MS: u64 = 10;
-/// When the databases become cold, and when that is over.
+/// When the databases become cold, and when they are warm again, in milliseconds.
 const COLD_MS: std::ops::Range<u64> = 10_000..25_000;
-/// When one node in ten is lost, and when the others' lists say so.
+/// When one node in ten is lost, in milliseconds.
 const LOST_MS: u64 = 14_000;
+/// When the other nodes' lists no longer hold the lost nodes, in milliseconds.
 const DELISTED_MS: u64 = 20_000;
 
 fn zone(number: usize) -> Locality {
@@ -62,27 +63,27 @@
     throttle.set_rule(
         Some(SlowStart {
             rate,
-            cold_for: RULE_LASTS,
+            cold_for: COLD_FOR,
         }),
         MARGIN,
     );
     throttle.warmth().announced(Timestamp::ZERO, Duration::ZERO);
     if cold {
         let at = Timestamp::from_millis(COLD_MS.start);
-        throttle.warmth().announced(at, RULE_LASTS);
+        throttle.warmth().announced(at, COLD_FOR);
     }
     throttle
 }
 
-struct Played {
-    /// Most requests of one database in a second that begins with a whole one.
+struct Results {
+    /// Most requests to one database within 1 s of any request to it.
     most: u32,
-    asked: [u32; 15],
+    offered: [u32; 15],
     served: [u32; 15],
     hand_overs: [u32; 15],
 }
 
-fn play() -> Played {
+fn play() -> Results {
     let mut rng = StdRng::seed_from_u64(3);
     let all: Vec<(usize, NodeName, Locality)> = (0..NODES)
         .map(|node| {
@@ -105,9 +106,9 @@
             throttle.hold(Timestamp::ZERO, true);
         }
     }
-    let mut played = Played {
+    let mut results = Results {
         most: 0,
-        asked: [0; 15],
+        offered: [0; 15],
         served: [0; 15],
         hand_overs: [0; 15],
     };
@@ -127,29 +128,29 @@
             }
         }
         for database in 0..COLD {
-            if !rng.random_bool(ASKED * STEP_MS as f64 / 1_000.0) {
+            if !rng.random_bool(OFFERED * STEP_MS as f64 / 1_000.0) {
                 continue;
             }
-            let Some((asker, ..)) = left.choose(&mut rng) else {
+            let Some((requester, ..)) = left.choose(&mut rng) else {
                 continue;
             };
-            played.asked[second] += 1;
-            // Each node begins with another holder, and goes on to the next while one refuses.
-            let first = asker % holding[database].len();
+            results.offered[second] += 1;
+            // Each node starts with a different holder, and tries the next one when a holder refuses.
+            let first = requester % holding[database].len();
             let mut order = holding[database].clone();
             order.rotate_left(first);
             for node in order {
                 if lost(node) && now_ms >= LOST_MS {
                     continue;
                 }
-                played.hand_overs[second] += u32::from(node != *asker);
+                results.hand_overs[second] += u32::from(node != *requester);
                 let Some(throttle) = throttles.get_mut(&(database, node)) else {
                     continue;
                 };
                 if throttle.pace(now, Some(now)) == Pace::After(Duration::ZERO) {
                     throttle.sent(now, 1);
                     arrivals[database].push(now_ms);
-                    played.served[second] += 1;
+                    results.served[second] += 1;
                     break;
                 }
             }
@@ -160,28 +161,28 @@
             let within = arrivals[index..]
                 .iter()
                 .take_while(|at| **at <= first + 1_000);
-            played.most = played.most.max(within.count() as u32);
+            results.most = results.most.max(within.count() as u32);
         }
     }
-    played
+    results
 }
 
 #[test]
-fn no_cold_database_of_many_gets_more_than_it_bears() {
-    let played = play();
+fn no_cold_database_of_many_exceeds_its_limit() {
+    let results = play();
     println!(
         "{NODES} nodes, {DATABASES} databases, {COLD} cold: most {}",
-        played.most
+        results.most
     );
     for second in 0..15 {
         println!(
-            "second {second}: asked {}, served {}, handed over {}",
-            played.asked[second], played.served[second], played.hand_overs[second]
+            "second {second}: offered {}, served {}, handed over {}",
+            results.offered[second], results.served[second], results.hand_overs[second]
         );
     }
-    assert!(f64::from(played.most) <= f64::from(RATE) * MARGIN.overrun + MARGIN.slack);
+    assert!(f64::from(results.most) <= f64::from(RATE) * MARGIN.overrun + MARGIN.slack);
     // While all holders run, little of the rate is left unused.
     let rate = f64::from(RATE) * COLD as f64;
-    let used = f64::from(played.served[2]) / rate;
+    let used = f64::from(results.served[2]) / rate;
     assert!(used > 0.8, "{used} of the rate was used");
 }
--- a/crates/dyketally/tests/template.rs
+++ b/crates/dyketally/tests/template.rs
@@ -1,4 +1,4 @@
-//! Documents of operators: what is accepted, and that every fault is told with its remedy.
+//! Documents of operators: what is accepted, and that every fault is reported with its remedy.
 
 use std::time::Duration;
 
@@ -134,7 +134,7 @@
 #[case::blank_prefix("\"SELECT\"", "\" \"", &["statements[1].match.prefix: is empty; give at least one word"])]
 #[case::shadowed("\"SELECT\"", "\"insert into orders (key)\"", &["statements[1].match: never matches, because statements[0] matches first; remove it"])]
 #[case::statements_no_list("[[statements]]\nmatch = { prefix = \"INSERT INTO ${table}\" }\naccess = \"write\"\nurgency = \"urgent\"\nrepeat = \"recorded\"\ndeadline = \"250ms\"\n\n[[statements]]", "[statements]", &["parameters.table: is declared but not used", "statements: is a table; set it to a list of tables [[statements]]", "statements: is empty; give at least one [[statements]]"])]
-fn tells_every_fault_of_a_template(
+fn reports_every_fault_of_a_template(
     #[case] from: &str,
     #[case] to: &str,
     #[case] expected: &[&str],
@@ -154,7 +154,7 @@
 #[case::too_few("= 40", "= 5", &["members[0].connection_limit: is 5, which leaves none beside 5 slots; allow more"])]
 #[case::ledger("name = \"ledger\"", "name = \"ledger\"\nledger_table = \"a; b\"", &["ledger_table: is \"a; b\"; set it to a table name"])]
 #[case::missing("zone = \"a\"", "", &["members[0].zone: is missing; set it to a name"])]
-fn tells_every_fault_of_a_group(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
+fn reports_every_fault_of_a_group(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
     let result = check_group("group", &change(GROUP, from, to));
     assert_faults(result.err().unwrap_or_default(), expected);
 }
@@ -169,7 +169,11 @@
 #[case::blank_text("weight = 20", "weight = 20\ntable = \" \"", &["parameters.table: is \" \"; set it to a text that isn't blank"])]
 #[case::renamed("\"shop\"", "\"shops\"", &["name: is \"shops\", but the document is kept as \"shop\"; give both the same name"])]
 #[case::unknown_key("template", "templates", &["template: is missing", "templates: unknown key"])]
-fn tells_every_fault_of_a_tenant(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
+fn reports_every_fault_of_a_tenant(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] expected: &[&str],
+) {
     let mut documents = documents();
     let tenant = change(TENANT, from, to);
     documents.tenants.insert("shop".to_owned(), tenant);
@@ -187,7 +191,7 @@
 }
 
 #[test]
-fn tells_the_faults_of_all_documents_together() {
+fn reports_the_faults_of_all_documents_together() {
     let mut documents = documents();
     let group = change(GROUP, "slots = 5", "slots = 0");
     let template = change(TEMPLATE, "250ms", "1ms");
