--- a/crates/dyketally/tests/configuration/log.rs
+++ b/crates/dyketally/tests/configuration/log.rs
@@ -1,4 +1,4 @@
-//! The log applies only what is newer, and gives peers what they lack.
+//! The configuration log applies only newer changes, and gives peers the changes that they lack.
 
 use std::sync::Arc;
 
@@ -65,7 +65,7 @@
 }
 
 #[rstest]
-#[case::ahead_of_us(9, Missing::Nothing)]
+#[case::peer_is_ahead(9, Missing::Nothing)]
 #[case::level(6, Missing::Nothing)]
 #[case::one_behind(5, Missing::Changes(changes([6])))]
 #[case::as_far_as_is_kept(3, Missing::Changes(changes([4, 5, 6])))]
--- a/crates/dyketally/tests/configuration/main.rs
+++ b/crates/dyketally/tests/configuration/main.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: its log, its publication and its way to every node.
+//! The operators' configuration: its log, its publication and its distribution to every node.
 
 mod log;
 mod publisher;
--- a/crates/dyketally/tests/configuration/publisher.rs
+++ b/crates/dyketally/tests/configuration/publisher.rs
@@ -1,4 +1,4 @@
-//! Tables of what the service answers, and how a publication ends.
+//! The outcome of a publication for each sequence of answers of the key-value service.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 fn winner(seed: u64) -> Winner {
     Winner {
         change_id: change_id(seed),
-        author: "somebody".into(),
+        author: "another operator".into(),
         revision: Revision(OWN),
     }
 }
@@ -63,8 +63,8 @@
     }
 }
 
-/// Feeds `answers` to a publisher, waiting whenever it wants to; returns the steps that it took
-/// to the service, and its outcome.
+/// Feeds `answers` to a publisher, advancing the clock whenever it waits. Returns the publisher's calls to the service,
+/// and its outcome, or `None` if the answers run out first.
 fn run(answers: Vec<PublisherAnswer>) -> (Vec<PublisherStep>, Option<PublishOutcome>) {
     let mut now = Timestamp::ZERO;
     let mut random = StdRng::seed_from_u64(1);
@@ -151,9 +151,9 @@
 }
 
 #[rstest]
-#[case::nothing_was_ever_sent(failed(), false)]
-#[case::something_may_have_taken_effect(Undetermined, true)]
-fn an_outage_ends_in_unavailable_and_tells_the_doubt(
+#[case::no_request_can_have_taken_effect(failed(), false)]
+#[case::a_request_may_have_taken_effect(Undetermined, true)]
+fn an_outage_ends_in_unavailable_and_reports_a_possible_acceptance(
     #[case] first: PublisherAnswer,
     #[case] may_be_accepted: bool,
 ) {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_publication_in_doubt_that_never_shows_up_is_sent_again_until_patience_ends() {
+fn an_undetermined_publication_is_sent_again_until_the_wait_limit() {
     let answers = (0..500).flat_map(|_| [Undetermined, read(4, None)]);
     let (steps, outcome) = run(answers.collect());
     let may_be_accepted = true;
--- a/crates/dyketally/tests/configuration/relay.rs
+++ b/crates/dyketally/tests/configuration/relay.rs
@@ -1,4 +1,4 @@
-//! Relays read the service seldom, whatever happens.
+//! Relays limit their calls to the key-value service, whatever happens.
 
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_node_that_is_no_relay_never_turns_to_the_service() {
+fn a_node_that_is_not_a_relay_never_calls_the_service() {
     let mut node = Synchronizer::new("other".into(), SyncSettings::default(), 1);
     node.set_relays(&["relay".into()], 6, Timestamp::ZERO);
     for second in 0..600 {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_silent_watch_is_opened_anew() {
+fn a_silent_watch_is_reopened() {
     let settings = RelaySettings::default();
     let mut node = relay(settings);
     let mut now = Timestamp::ZERO;
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_service_that_lost_changes_is_noticed_and_nothing_goes_back() {
+fn a_service_that_lost_changes_is_counted_and_no_revision_decreases() {
     let mut node = relay(RelaySettings::default());
     let mut now = Timestamp::ZERO;
     let watch = open(&mut node, &mut now);
@@ -124,7 +124,7 @@
 #[rstest]
 #[case::outage(Duration::ZERO)]
 #[case::rate_limit(Duration::from_secs(5))]
-fn waits_grow_with_failures_and_respect_the_service(#[case] retry_after: Duration) {
+fn waits_grow_with_failures_and_respect_retry_after(#[case] retry_after: Duration) {
     let settings = RelaySettings::default();
     let mut node = relay(settings);
     let mut now = Timestamp::ZERO;
@@ -154,7 +154,7 @@
     const SECONDS: u64 = 120;
     let settings = RelaySettings {
         fleet_openings_per_second: 3,
-        // Without growing waits, so that only the bound holds the relays back.
+        // No backoff, so that only the bound limits the relays.
         backoff: Duration::ZERO,
         ..RelaySettings::default()
     };
--- a/crates/dyketally/tests/configuration/sample.rs
+++ b/crates/dyketally/tests/configuration/sample.rs
@@ -1,4 +1,4 @@
-//! Changes and nodes for the tests.
+//! Sample changes and nodes for the tests of the configuration.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     ChangeId::random(&mut StdRng::seed_from_u64(seed))
 }
 
-/// Puts the tenant `name`.
+/// The edit that puts the document of the tenant `name`.
 pub fn put(name: &str, text: &str) -> DocumentEdit {
     DocumentEdit::Put(Document {
         kind: DocumentKind::Tenant,
@@ -24,7 +24,7 @@
     })
 }
 
-/// The change that makes `revision`; distinct for each `seed`.
+/// The change that creates `revision`, distinct for each `seed`.
 pub fn change_by(seed: u64, revision: u64) -> Arc<Change> {
     Arc::new(Change {
         revision: Revision(revision),
@@ -35,7 +35,7 @@
     })
 }
 
-/// The change that makes `revision`.
+/// The change that creates `revision`, the same at each call.
 pub fn change(revision: u64) -> Arc<Change> {
     change_by(revision, revision)
 }
@@ -55,6 +55,7 @@
     node
 }
 
+/// The revisions that `actions` report as in force.
 pub fn in_force(actions: &[SyncAction]) -> Vec<Revision> {
     let revisions = actions.iter().filter_map(|action| match action {
         SyncAction::InForce(Snapshot { revision, .. }) => Some(*revision),
--- a/crates/dyketally/tests/configuration/stateful/fleet.rs
+++ b/crates/dyketally/tests/configuration/stateful/fleet.rs
@@ -14,10 +14,10 @@
 use super::service::Service;
 use super::{Garbage, MessageFate, NODES};
 
-/// Missing changes beyond which a watch reports all documents.
+/// Most missing changes that a watch reports one by one; if more are missing, it reports a snapshot.
 const MOST_CHANGES_REPORTED: u64 = 3;
 
-/// Small bounds, so that replies are cut and changes forgotten.
+/// Small bounds, so that replies hold only a part and logs drop changes.
 fn settings() -> SyncSettings {
     SyncSettings {
         pull: PullSettings {
@@ -213,14 +213,17 @@
                 SyncAction::CloseWatch => self.nodes[node].watch = None,
                 SyncAction::InForce(snapshot) => {
                     let highest = &mut self.nodes[node].highest;
-                    assert!(snapshot.revision > *highest, "node {node} goes back");
+                    assert!(
+                        snapshot.revision > *highest,
+                        "node {node} returned to an older revision"
+                    );
                     *highest = snapshot.revision;
                 }
             }
         }
     }
 
-    /// Every node holds the documents of its revision, and has told of them.
+    /// Asserts that every node holds the documents of its revision and has reported them as in force.
     pub fn check(&self, service: &Service) {
         for (index, node) in self.nodes.iter().enumerate() {
             let snapshot = node.synchronizer.snapshot();
@@ -258,7 +261,7 @@
     }
 }
 
-/// The senseless message; `None` for one that doesn't come from a peer.
+/// The invalid or outdated message; `None` for `OldSnapshot`, which a watch reports and not a peer.
 fn garbage_body(garbage: Garbage, service: &Service) -> Option<Body> {
     let mut changes = service.changes_after(Revision(0));
     let part = |revision, after| PartOfSnapshot { revision, after };
@@ -295,7 +298,7 @@
     Some(Body::Reply(reply))
 }
 
-/// No document is behind this one, but parts may end with one before it.
+/// A key that sorts after those of all documents.
 fn last_key() -> DocumentKey {
     DocumentKey {
         kind: DocumentKind::Tenant,
--- a/crates/dyketally/tests/configuration/stateful/mod.rs
+++ b/crates/dyketally/tests/configuration/stateful/mod.rs
@@ -1,9 +1,9 @@
 //! Publication and dissemination together, driven at random against a simple oracle.
 //!
-//! The oracle is the list of accepted changes as the simulated service carried them out. After
-//! each step: every node holds exactly the documents that the oracle has for its revision, no node
-//! went back, and no operator was told anything that the list contradicts. At the end, when
-//! everything works again, all nodes hold the newest documents.
+//! The oracle is the list of accepted changes as the simulated service carried them out. After each step, every node
+//! holds exactly the documents that the oracle has for its revision, no node has returned to an older revision, and no
+//! operator got a result that the list contradicts. At the end, when everything works again, all nodes hold the newest
+//! documents.
 
 mod fleet;
 mod operators;
@@ -35,7 +35,7 @@
     Lost,
 }
 
-/// Messages that no correct node sends, or sends no more.
+/// Invalid or outdated messages.
 #[derive(Clone, Copy, Debug)]
 pub enum Garbage {
     /// A claim to be at a revision that doesn't exist.
@@ -63,13 +63,13 @@
     /// An operator makes a change on the newest revision, and it is accepted at once if the
     /// operator isn't busy and the service runs.
     Accept { operator: usize },
-    /// An operator's tool turns to the service.
+    /// An operator's tool takes its next step, such as a call to the service.
     OperatorStep { operator: usize, fate: RequestFate },
     /// A delayed request reaches the service.
     DelayedRequest(Index),
-    /// The service goes down or comes back.
+    /// The service goes down (`true`) or recovers.
     Outage(bool),
-    /// One node tells another its revision.
+    /// One node sends another its revision.
     Probe { from: usize, to: usize },
     /// One of the messages on their way arrives, in any order.
     Message(Index, MessageFate),
@@ -81,7 +81,7 @@
     Watch { node: usize, fails: bool },
     /// A node is replaced by a fresh one.
     Replace { node: usize },
-    /// A node gets a senseless message.
+    /// A node receives an invalid or outdated message.
     Garbage { node: usize, garbage: Garbage },
 }
 
@@ -145,7 +145,7 @@
     ]
 }
 
-/// Any step may follow any other, so there is nothing to remember between them.
+/// The generator of steps. It keeps no state, since any step may follow any other.
 pub struct AnyStep;
 
 impl ReferenceStateMachine for AnyStep {
@@ -192,5 +192,5 @@
     #![proptest_config(ProptestConfig::default())]
 
     #[test]
-    fn accepted_changes_reach_all_nodes_and_none_goes_back(sequential 1..400 => Dissemination);
+    fn accepted_changes_reach_all_nodes_and_no_revision_decreases(sequential 1..400 => Dissemination);
 }
--- a/crates/dyketally/tests/configuration/stateful/operators.rs
+++ b/crates/dyketally/tests/configuration/stateful/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who publish, and what they were told.
+//! Simulated operators who publish changes, and the results that they got.
 
 use std::sync::Arc;
 
@@ -68,7 +68,7 @@
         self.running[operator] = Some(Running { publisher, step });
     }
 
-    /// Lets the operator's tool take its next step, which `fate` befalls.
+    /// Lets the operator's tool take its next step; `fate` is what becomes of its request.
     pub fn step(
         &mut self,
         operator: usize,
@@ -90,7 +90,7 @@
                 commit(&change, fate, service)
             }
             PublisherStep::ReadBack => read_back(publisher.seen().0, fate, service),
-            PublisherStep::Finished(_) => unreachable!("ended publications are put away"),
+            PublisherStep::Finished(_) => unreachable!("ended publications are removed"),
         };
         *step = publisher.answer(answer, now, &mut self.random);
         if let PublisherStep::Finished(outcome) = step {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// No operator was told anything that the list of accepted changes contradicts.
+    /// Asserts that no operator got a result that the list of accepted changes contradicts.
     pub fn check(&self, service: &Service) {
         for number in 1..=self.published {
             let accepted = service.revisions_of(change_id(number));
@@ -117,14 +117,17 @@
             match outcome {
                 PublishOutcome::Accepted { revision } => assert_eq!(accepted, [*revision]),
                 PublishOutcome::Conflict { winner, .. } => {
-                    assert!(accepted.is_empty(), "{winner:?} did not win");
+                    assert!(
+                        accepted.is_empty(),
+                        "a change that was reported as superseded by {winner:?} was accepted"
+                    );
                     assert_eq!(service.revisions_of(winner.change_id), [winner.revision]);
                 }
-                PublishOutcome::ServiceBehind { .. } => panic!("the service never goes back"),
+                PublishOutcome::ServiceBehind { .. } => panic!("the service never loses changes"),
                 PublishOutcome::Unavailable { may_be_accepted } => {
                     assert!(
                         *may_be_accepted || accepted.is_empty(),
-                        "accepted unknowingly"
+                        "a change that was reported as not accepted was accepted"
                     );
                 }
             }
--- a/crates/dyketally/tests/configuration/stateful/service.rs
+++ b/crates/dyketally/tests/configuration/stateful/service.rs
@@ -1,4 +1,4 @@
-//! The simulated service, and the oracle: what it accepted.
+//! The simulated key-value service, and the oracle: the changes that it accepted.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
     accepted: Vec<Arc<Change>>,
     /// The documents of each revision, from 0.
     documents: Vec<Documents>,
-    /// Requests that reached the service late, or have yet to.
+    /// Requests that have yet to reach the service.
     delayed: Vec<Arc<Change>>,
     pub down: bool,
 }
@@ -29,7 +29,7 @@
         self.accepted.len() as u64
     }
 
-    /// Carries a commit out: the counter must be at the revision that the change was made on.
+    /// Carries out a commit if the newest revision is the one that the change was made on.
     pub fn commit(&mut self, change: &Arc<Change>) -> PublisherAnswer {
         let seen = change.revision.0 - 1;
         if self.current() != seen {
@@ -64,7 +64,7 @@
         self.delayed.len()
     }
 
-    /// Lets a delayed request take effect; the reply reaches nobody.
+    /// Lets a delayed request take effect; its reply is lost.
     pub fn arrive(&mut self, index: usize) {
         let change = self.delayed.swap_remove(index);
         self.commit(&change);
@@ -88,7 +88,7 @@
         &self.documents[revision as usize]
     }
 
-    /// The revisions that the change was accepted as: one at most.
+    /// The revisions that the change was accepted as; more than one is a violation.
     pub fn revisions_of(&self, change_id: ChangeId) -> Vec<Revision> {
         let own = self
             .accepted
--- a/crates/dyketally/tests/configuration/stateful/world.rs
+++ b/crates/dyketally/tests/configuration/stateful/world.rs
@@ -1,4 +1,4 @@
-//! Service, operators and nodes together.
+//! The simulated world of a run: service, operators and nodes.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::service::Service;
 use super::{MessageFate, NODES, OPERATORS, RequestFate, Transition};
 
-/// Time that a round takes in which everything works and every node probes every other.
+/// Duration of a round in which everything works and every node probes every other.
 const ROUND: Duration = Duration::from_millis(100);
 
 /// Changes that are accepted before any node starts.
@@ -26,7 +26,7 @@
 }
 
 impl World {
-    /// Some changes are accepted and one node is a relay.
+    /// A world with `ACCEPTED_BEFORE` accepted changes and one relay.
     pub fn new() -> Self {
         let mut world = Self {
             now: Timestamp::ZERO,
@@ -91,7 +91,7 @@
         self.fleet.check(&self.service);
     }
 
-    /// Everything works again, until the nodes agree or every wait has ended.
+    /// Restores the service and a relay, and plays healthy rounds until every wait has ended.
     pub fn heal(&mut self) {
         self.service.down = false;
         if !self.fleet.has_relay() {
@@ -121,7 +121,10 @@
         let mut delivered = 0;
         while self.fleet.messages() > 0 {
             delivered += 1;
-            assert!(delivered < MOST_MESSAGES, "nodes never fall silent");
+            assert!(
+                delivered < MOST_MESSAGES,
+                "nodes still send messages after {delivered} deliveries"
+            );
             self.fleet.deliver(0, MessageFate::Delivered, self.now);
         }
     }
@@ -130,6 +133,9 @@
         let converged = self.fleet.converged(&self.service);
         let revisions = self.fleet.revisions();
         let current = self.service.current();
-        assert!(converged, "nodes at {revisions:?} of {current}");
+        assert!(
+            converged,
+            "nodes are at revisions {revisions:?}, the service is at {current}"
+        );
     }
 }
--- a/crates/dyketally/tests/configuration/sync.rs
+++ b/crates/dyketally/tests/configuration/sync.rs
@@ -1,4 +1,4 @@
-//! Nodes pull what they lack; late, repeated and senseless messages do no harm.
+//! Nodes pull the changes that they lack; late, repeated and invalid messages do no harm.
 
 use std::time::Duration;
 
@@ -44,13 +44,16 @@
     })
 }
 
-/// Lets `node` pull from `peer` until it wants nothing more; returns the number of replies.
+/// Lets `node` pull from `peer` until it lacks nothing; returns the number of replies.
 fn pull_all(node: &mut Synchronizer, peer: &Synchronizer) -> usize {
     let mut actions = node.peer_revision(name("peer"), peer.revision(), NOW);
     let mut replies = 0;
     while let Some((asked, request)) = request(&actions) {
         replies += 1;
-        assert!(replies < 1000, "the node never has enough");
+        assert!(
+            replies < 1000,
+            "the node still pulls after {replies} replies"
+        );
         actions = node.pull_reply(&asked, peer.pull_request(request), NOW);
     }
     replies
@@ -195,7 +198,7 @@
 }
 
 #[test]
-fn parts_may_come_from_peers_that_cut_differently() {
+fn snapshot_parts_may_come_from_peers_with_different_reply_sizes() {
     let large = node_at("large", 10, settings(40, 2));
     let small = node_at("small", 10, settings(20, 2));
     let mut node = node(0);
@@ -204,7 +207,7 @@
     while let Some((asked, request)) = request(&actions) {
         let peer = [&large, &small][turn % 2];
         turn += 1;
-        assert!(turn < 1000, "the node never has enough");
+        assert!(turn < 1000, "the node still pulls after {turn} replies");
         actions = node.pull_reply(&asked, peer.pull_request(request), NOW);
     }
     assert!(turn > 2);
@@ -217,7 +220,7 @@
     revision: Revision(5),
     after: Some(DocumentKey { kind: DocumentKind::Tenant, name: "zzz".into() }),
 })]
-fn a_senseless_request_is_answered_within_bounds(#[case] part: PartOfSnapshot) {
+fn an_invalid_request_is_answered_within_bounds(#[case] part: PartOfSnapshot) {
     let peer = node_at("peer", 5, settings(30, 2));
     let request = PullRequest {
         have: Revision(0),
@@ -230,7 +233,7 @@
 }
 
 #[test]
-fn a_silent_peer_is_given_up_for_the_next() {
+fn after_a_timeout_the_next_peer_gets_the_request() {
     let mut node = node(3);
     let first = request(&node.peer_revision(name("a"), Revision(5), NOW));
     assert_eq!(first.expect("a request").0, name("a"));
@@ -247,12 +250,12 @@
     assert_eq!(
         in_force(&actions),
         [Revision(5)],
-        "a late answer is of use all the same"
+        "a late reply is still applied"
     );
 }
 
 #[test]
-fn a_peer_that_claims_a_revision_it_does_not_have_is_not_asked_again_and_again() {
+fn a_peer_that_claims_a_revision_it_does_not_have_gets_one_request() {
     let mut node = node(3);
     let mut actions = node.peer_revision(name("liar"), Revision(u64::MAX), NOW);
     let mut asked = 0;
@@ -279,7 +282,7 @@
 }
 
 #[test]
-fn each_advance_is_told_once_with_the_newest_documents() {
+fn each_advance_is_reported_once_with_the_newest_documents() {
     let mut node = node(0);
     let reply = PullReply::Changes {
         changes: changes(1..=4),
--- a/crates/dyketally/tests/fairness/main.rs
+++ b/crates/dyketally/tests/fairness/main.rs
@@ -85,7 +85,7 @@
     );
 }
 
-/// A tenant whose statements come one at a time, against tenants that always have more.
+/// A tenant whose statements come one at a time, against tenants (`rivals`) that always have statements queued.
 #[derive(Clone, Debug)]
 struct Contest {
     slots: u32,
@@ -127,7 +127,8 @@
         let measures = simulate(&loads, contest.slots, contest.seed);
         let victim = &measures.tenants[rivals as usize];
         prop_assert_eq!(victim.waits.len(), victim.sent);
-        // What runs already, one statement of each rival, and what each rival has saved up.
+        // Slot time before the victim's turn: the running statements, one statement of each rival, and the credit that
+        // each rival has saved up.
         let before = contest.longest * (contest.slots + rivals) + SAVED_SLOT_TIME * rivals;
         let bound = before / contest.slots + contest.longest;
         let longest = victim.waits.iter().max().copied().unwrap_or_default();
--- a/crates/dyketally/tests/fairness/simulation/engine.rs
+++ b/crates/dyketally/tests/fairness/simulation/engine.rs
@@ -11,10 +11,10 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// Before arrivals of the same moment, so that a slot is free when it could be.
+    /// Ordered before arrivals of the same time, so that they find the slot free.
     Finish(usize),
     Arrive(usize),
-    /// Only wakes the loop: statements past their deadline are given up at every event.
+    /// Only wakes the loop: statements past their deadline expire at every event.
     Deadline(usize),
 }
 
--- a/crates/dyketally/tests/fairness/simulation/fair.rs
+++ b/crates/dyketally/tests/fairness/simulation/fair.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A statement arrives; `false` when it is answered without having run.
+    /// Queues a statement that arrives; `false` when it is rejected.
     pub fn arrive(&mut self, now: Timestamp, job: Job) -> bool {
         let share = &self.shares[job.tenant];
         let number = job.number;
@@ -67,21 +67,21 @@
         Some(self.queue.next(now)?.item)
     }
 
-    /// A statement gives its slot back.
+    /// Releases the slot of a statement that has ended.
     pub fn finish(&mut self, now: Timestamp, job: &Job) {
         let ticket = self.tickets.remove(&job.number);
         let held_a_slot = ticket.is_some_and(|ticket| self.queue.finished(now, ticket));
         assert!(held_a_slot, "{job:?} held no slot");
     }
 
-    /// Gives up on the statements that are past their deadline.
+    /// Removes the queued statements that can no longer end within their deadline.
     pub fn expire(&mut self, now: Timestamp) {
         for expired in self.queue.expire(now, &mut self.random) {
             self.tickets.remove(&expired.item.number);
         }
     }
 
-    /// Statements that wait.
+    /// The number of queued statements.
     pub fn waiting(&self) -> usize {
         self.queue.queued()
     }
--- a/crates/dyketally/tests/fairness/simulation/measures.rs
+++ b/crates/dyketally/tests/fairness/simulation/measures.rs
@@ -1,4 +1,4 @@
-//! What is measured in a run.
+//! Measures of a simulated run: waits, slot time and utilisation.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
 }
 
 impl Measures {
-    /// Nothing measured yet.
+    /// The measures before a run.
     pub fn new(tenants: usize, slots: u32, window: (Timestamp, Timestamp)) -> Self {
         Measures {
             tenants: vec![TenantMeasures::default(); tenants],
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Share of the slots that were busy while anyone waited.
+    /// Share of the slots that were busy while any statement waited.
     pub fn utilisation(&self) -> f64 {
         let offered = self.contended.as_secs_f64() * f64::from(self.slots);
         if offered == 0.0 {
@@ -51,7 +51,7 @@
         self.contended_busy.as_secs_f64() / offered
     }
 
-    /// Time passes until `now`, with this many statements running and waiting.
+    /// Records that time passes until `now`, with this many statements running and waiting.
     pub fn advance(&mut self, now: Timestamp, running: usize, waiting: usize) {
         let passed = self.overlap(self.last, now);
         self.last = now;
@@ -61,14 +61,14 @@
         }
     }
 
-    /// A statement was sent.
+    /// Records that a statement was sent.
     pub fn arrived(&mut self, job: &Job) {
         if self.counts(job) {
             self.tenants[job.tenant].sent += 1;
         }
     }
 
-    /// A statement got a slot.
+    /// Records that a statement got a slot.
     pub fn started(&mut self, now: Timestamp, job: &Job) {
         if self.counts(job) {
             let wait = now.saturating_since(job.arrived);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A statement ended.
+    /// Records that a statement ended.
     pub fn finished(&mut self, started: Timestamp, now: Timestamp, job: &Job) {
         let busy = self.overlap(started, now);
         self.tenants[job.tenant].busy += busy;
@@ -93,7 +93,7 @@
     }
 }
 
-/// Jain's index: 1 when all are equal, one part in their number when one has everything.
+/// Jain's fairness index of n values: 1 when all are equal, 1/n when all but one are 0.
 pub fn jain(values: &[f64]) -> f64 {
     let sum: f64 = values.iter().sum();
     let squares: f64 = values.iter().map(|value| value * value).sum();
--- a/crates/dyketally/tests/fairness/simulation/workload.rs
+++ b/crates/dyketally/tests/fairness/simulation/workload.rs
@@ -17,7 +17,7 @@
         /// Mean statements in a second.
         per_second: f64,
     },
-    /// Many at one moment, again and again.
+    /// Many at the same time, at a fixed interval.
     Bursts {
         /// Time between the bursts.
         every: Duration,
@@ -33,7 +33,7 @@
     pub short: Duration,
     /// Busy time of the long ones.
     pub long: Duration,
-    /// Long ones in a hundred.
+    /// Percentage of long ones.
     pub percent_long: u32,
 }
 
@@ -44,7 +44,7 @@
         self.long.as_secs_f64() * long + self.short.as_secs_f64() * (1.0 - long)
     }
 
-    fn draw(&self, random: &mut StdRng) -> Duration {
+    fn sample(&self, random: &mut StdRng) -> Duration {
         if random.random_range(0..100) < self.percent_long {
             self.long
         } else {
@@ -60,7 +60,7 @@
     pub name: String,
     /// Its share relative to other tenants.
     pub weight: u32,
-    /// Statements of its that may wait.
+    /// Most statements of the tenant that may wait.
     pub queue_limit: u32,
     /// When its statements arrive.
     pub arrivals: Arrivals,
@@ -91,7 +91,7 @@
                 tenant,
                 arrived,
                 deadline: arrived + load.deadline,
-                service: load.service.draw(&mut random),
+                service: load.service.sample(&mut random),
             });
         }
     }
--- a/crates/dyketally/tests/fence_fuzz/duty.rs
+++ b/crates/dyketally/tests/fence_fuzz/duty.rs
@@ -1,4 +1,4 @@
-//! The duty of replacing primaries: its lease at the store, and who takes it when it has ended.
+//! The duty of replacing primaries: its lease at the store, and the node that takes it when the lease has ended.
 
 use std::time::Duration;
 
@@ -13,19 +13,20 @@
 const DUTY_STEPS: usize = 16;
 /// The duty counts as lost this long before its lease can end.
 const DUTY_MARGIN: Duration = Duration::from_millis(300);
-/// By so much the contact of a renewal of the duty's lease ends sooner than that of another one.
+/// The contact that a renewal of the duty's lease gives ends sooner by this time than that of a node's own lease.
 const DUTY_CONTACT_SHORTER: Duration = Duration::from_millis(600);
-/// Its time to live.
+/// Time to live of the duty's lease.
 const DUTY_LEASE: Duration = Duration::from_millis(2_600);
 
-/// The duty as the store has it, and as its holder knows it.
+/// One tenure of the duty, as the store has it and as its holder knows it.
 pub struct Duty {
     pub holder: usize,
     /// The end of the lease at the store, in true time.
     pub ends: Timestamp,
-    /// When the holder took it and until when it is sure of it, by its own clock.
+    /// When the holder took the duty, by the holder's clock.
     pub taken: Timestamp,
-    pub sure_until: Timestamp,
+    /// Until when the holder is certain to hold the duty, by the holder's clock.
+    pub certain_until: Timestamp,
 }
 
 impl Duty {
@@ -36,32 +37,32 @@
             holder: 0,
             ends,
             taken: Timestamp::ZERO,
-            sure_until: ends - DUTY_MARGIN,
+            certain_until: ends - DUTY_MARGIN,
         }
     }
 }
 
 impl World {
-    /// True while a node may grant the short contact.
+    /// True while node `index` may grant the short contact.
     pub fn grants(&self, index: usize) -> bool {
         let now = self.now(index);
         self.duties(index).any(|duty| {
-            let is_sure = now < duty.sure_until || self.fault == Fault::GrantsOutliveLease;
+            let is_certain = now < duty.certain_until || self.fault == Fault::GrantsOutliveLease;
             let settled = now >= duty.taken + GRANTS_SETTLE || duty.taken == Timestamp::ZERO;
-            is_sure && (settled || self.fault == Fault::GrantsUnsettled)
+            is_certain && (settled || self.fault == Fault::GrantsUnsettled)
         })
     }
 
-    /// Every time that a node took the duty.
+    /// All tenures of the duty by node `index`.
     pub fn duties(&self, index: usize) -> impl Iterator<Item = &Duty> {
-        let all = self.former.iter().chain([&self.duty]);
+        let all = self.former_duties.iter().chain([&self.duty]);
         all.filter(move |duty| duty.holder == index)
     }
 
-    /// True while a node surely holds the duty, by its own clock.
-    pub fn surely_holds(&self, index: usize) -> bool {
+    /// True while node `index` is certain to hold the duty, by its own clock.
+    pub fn is_certain_holder(&self, index: usize) -> bool {
         let now = self.now(index);
-        self.rule == Rule::Long || self.duties(index).any(|duty| now < duty.sure_until)
+        self.rule == Rule::Long || self.duties(index).any(|duty| now < duty.certain_until)
     }
 
     /// Renews the duty's lease, or has another node take it when it has ended.
@@ -71,22 +72,22 @@
         let is_held = self.true_time() < self.duty.ends;
         let acts = !self.is_frozen(holder) && self.nodes[holder].reaches_store;
         if is_held && acts && self.random.random_bool(0.003) {
-            // It gives the duty back.
+            // The holder gives up the duty.
             self.duty.ends = self.true_time();
-            self.duty.sure_until = Timestamp::ZERO;
+            self.duty.certain_until = Timestamp::ZERO;
         } else if is_held && acts && self.step.is_multiple_of(DUTY_STEPS) {
             self.duty.ends = self.true_time() + DUTY_LEASE;
-            self.duty.sure_until = now + DUTY_LEASE - DUTY_MARGIN;
+            self.duty.certain_until = now + DUTY_LEASE - DUTY_MARGIN;
             let node = &mut self.nodes[holder];
             if node.watches(self.step) || self.fault == Fault::RenewalsWithoutWatchCount {
                 node.contact.store_replied(now - DUTY_CONTACT_SHORTER);
             }
-            node.fenced |= self.published && self.fault != Fault::StoreNotTold;
+            node.fenced |= self.published && self.fault != Fault::FenceNotPublished;
         }
         if self.true_time() < self.duty.ends {
             return;
         }
-        // The fence in the store goes with the lease.
+        // The store removes the fence together with the lease.
         self.published = false;
         let index = self.random.random_range(0..self.nodes.len());
         if !self.nodes[index].reaches_store || self.is_frozen(index) {
@@ -97,11 +98,11 @@
             holder: index,
             ends: self.true_time() + DUTY_LEASE,
             taken,
-            sure_until: taken + DUTY_LEASE - DUTY_MARGIN,
+            certain_until: taken + DUTY_LEASE - DUTY_MARGIN,
         };
-        let former = std::mem::replace(&mut self.duty, duty);
-        self.former.push(former);
-        // A holder watches the store itself.
+        let ended = std::mem::replace(&mut self.duty, duty);
+        self.former_duties.push(ended);
+        // A holder of the duty watches the store itself and follows no relay.
         self.nodes[index].follows = None;
     }
 }
--- a/crates/dyketally/tests/fence_fuzz/main.rs
+++ b/crates/dyketally/tests/fence_fuzz/main.rs
@@ -1,8 +1,7 @@
-//! Stateful fuzzing of fences against an oracle that sees everything: nodes, databases and the store
-//! are cut off from each other at random, nodes stand still, clocks run at different rates and the duty
-//! changes hands while a primary is being replaced. No node may take the old primary for the leader,
-//! without asking the other databases, once another one leads. With a mechanism switched off, the
-//! oracle must find a violation.
+//! Stateful fuzzing of fences against an oracle that sees everything: nodes, databases and the store are cut off from
+//! each other at random, nodes are paused, clocks run at different rates and the duty of replacing primaries changes
+//! hands while a primary is being replaced. Once another database leads, no node may treat the old primary as the
+//! leader without polling the other databases. With a mechanism switched off, the oracle must find a violation.
 
 mod duty;
 mod node;
@@ -14,75 +13,75 @@
 use world::{Rule, World};
 
 const SEEDS: u64 = 3_000;
-/// Seeds that are tried until a mechanism that is switched off is noticed.
-const SEEDS_OF_FAULTS: u64 = 30_000;
+/// Most seeds that are run until a violation shows that a mechanism is switched off.
+const MAX_FAULT_SEEDS: u64 = 30_000;
 
-/// A mechanism that is switched off.
+/// The mechanism that a run switches off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// All mechanisms work.
     Nothing,
-    /// Nodes that don't confirm aren't waited for.
+    /// A fence closes without waiting for nodes that don't confirm it.
     SilentNodesIgnored,
-    /// However few nodes confirm, the others are taken for isolated in the end.
+    /// However few nodes confirm a fence, the others are in the end treated as isolated.
     NoQuorumNeeded,
-    /// Nodes take themselves for in touch whatever they hear.
+    /// Nodes treat themselves as in contact whatever they receive.
     NeverIsolated,
     /// Nodes confirm a fence and go on using the primary.
     ConfirmedOnly,
-    /// A quorum counts as if it had stood from the start.
+    /// A quorum counts as if it had been reached at the start.
     QuorumBackdated,
-    /// A node that was isolated takes itself for in touch at once when it hears something.
+    /// A node that was isolated treats itself as in contact again at its first reply.
     NoCatchUp,
-    /// Nodes don't tell each other of fences.
-    FencesKeptSecret,
-    /// Nodes in touch with the store don't hear of fences there.
-    StoreNotTold,
+    /// Nodes don't report fences to each other.
+    FencesNotReported,
+    /// The store doesn't report fences to the nodes in contact with it.
+    FenceNotPublished,
     /// A relay's contact counts for its followers as if it were new.
     RelayedAgeIgnored,
-    /// A node's own calls to the store count although a relay tells it the news.
+    /// A node's own calls to the store count as contact although it receives its updates from a relay.
     OwnCallsOfFollowersCount,
-    /// Renewals of the duty's lease count although the holder's watch is lost.
+    /// Renewals of the duty's lease count as contact although the holder's watch is lost.
     RenewalsWithoutWatchCount,
-    /// Relays don't tell their followers of fences.
-    RelayedFencesKeptSecret,
+    /// Relays don't report fences to their followers.
+    RelayedFencesNotReported,
     /// Nodes trust a primary without the short contact.
     ShortContactNotNeeded,
-    /// Grants of the short contact don't tell of fences.
+    /// Grants of the short contact don't report fences.
     GrantsWithoutFences,
-    /// Whoever held the duty goes on granting when its lease may have ended.
+    /// A node that held the duty goes on granting the short contact when its lease may have ended.
     GrantsOutliveLease,
-    /// Whoever takes the duty grants the short contact at once.
+    /// A node that takes the duty grants the short contact at once.
     GrantsUnsettled,
     /// A primary is replaced although another node may hold the duty.
     ClosesWithoutLease,
 }
 
-/// The run of the first seed, step by step: node 0 had missed a fence, took the duty at 14.3 s, and renewed its
-/// lease at 15.2 s. It was cut off from the store for 1.4 s before its watch had told it what it missed. The
-/// 3 s for which a node catches up went by meanwhile, and its renewals counted as contact: at 18 s it trusted
-/// the primary that had been replaced.
+/// Guards against a holder of the duty that counts renewals of its lease as contact while its watch is lost. With the
+/// first seed, node 0 misses a fence, takes the duty at 14.3 s and renews its lease at 15.2 s. It is cut off from the
+/// store for 1.4 s before its watch has reported what it missed. The 3 s for which a node catches up pass meanwhile,
+/// and the renewals count as contact: at 18 s node 0 trusts the primary that was replaced.
 #[rstest]
 #[case(238_816)]
 #[case(258_812)]
 fn a_holder_of_the_duty_relies_on_its_watch_and_not_on_its_renewals(#[case] seed: u64) {
-    let deceived = |fault| World::new(seed, fault, Rule::Both).run().deceived;
-    assert!(deceived(Fault::RenewalsWithoutWatchCount).is_some());
-    assert_eq!(deceived(Fault::Nothing), None);
+    let wrong_trust = |fault| World::new(seed, fault, Rule::Both).run().wrong_trust;
+    assert!(wrong_trust(Fault::RenewalsWithoutWatchCount).is_some());
+    assert_eq!(wrong_trust(Fault::Nothing), None);
 }
 
-fn first_deceived(seeds: u64, fault: Fault, rule: Rule) -> Option<String> {
+fn first_wrong_trust(seeds: u64, fault: Fault, rule: Rule) -> Option<String> {
     (0..seeds).find_map(|seed| {
-        let deceived = World::new(seed, fault, rule).run().deceived?;
-        Some(format!("seed {seed}, {deceived}"))
+        let wrong_trust = World::new(seed, fault, rule).run().wrong_trust?;
+        Some(format!("seed {seed}, {wrong_trust}"))
     })
 }
 
 #[rstest]
 #[case(Rule::Long)]
 #[case(Rule::Both)]
-fn nobody_trusts_a_primary_that_was_replaced(#[case] rule: Rule) {
-    assert_eq!(first_deceived(SEEDS, Fault::Nothing, rule), None);
+fn no_node_trusts_a_primary_that_was_replaced(#[case] rule: Rule) {
+    assert_eq!(first_wrong_trust(SEEDS, Fault::Nothing, rule), None);
 }
 
 #[test]
@@ -92,7 +91,7 @@
     assert!(early > 100, "only {early} runs closed a fence early");
 }
 
-/// What the long contact rests on: the short one hides most of these faults.
+/// Faults of the long contact, without the short contact, which hides most of them.
 #[rstest]
 #[case(Fault::SilentNodesIgnored)]
 #[case(Fault::NoQuorumNeeded)]
@@ -100,14 +99,14 @@
 #[case(Fault::ConfirmedOnly)]
 #[case(Fault::QuorumBackdated)]
 #[case(Fault::NoCatchUp)]
-#[case(Fault::FencesKeptSecret)]
-#[case(Fault::StoreNotTold)]
+#[case(Fault::FencesNotReported)]
+#[case(Fault::FenceNotPublished)]
 #[case(Fault::RelayedAgeIgnored)]
 #[case(Fault::OwnCallsOfFollowersCount)]
-#[case(Fault::RelayedFencesKeptSecret)]
+#[case(Fault::RelayedFencesNotReported)]
 fn a_mechanism_that_is_switched_off_is_noticed(#[case] fault: Fault) {
-    let deceived = first_deceived(SEEDS, fault, Rule::Long);
-    assert!(deceived.is_some(), "{fault:?} went unnoticed");
+    let wrong_trust = first_wrong_trust(SEEDS, fault, Rule::Long);
+    assert!(wrong_trust.is_some(), "{fault:?} went unnoticed");
 }
 
 #[rstest]
@@ -115,15 +114,15 @@
 #[case(Fault::NeverIsolated)]
 #[case(Fault::ConfirmedOnly)]
 #[case(Fault::QuorumBackdated)]
-#[case(Fault::FencesKeptSecret)]
+#[case(Fault::FencesNotReported)]
 #[case(Fault::RelayedAgeIgnored)]
-#[case(Fault::RelayedFencesKeptSecret)]
+#[case(Fault::RelayedFencesNotReported)]
 #[case(Fault::ShortContactNotNeeded)]
 #[case(Fault::GrantsWithoutFences)]
 #[case(Fault::GrantsOutliveLease)]
 #[case(Fault::GrantsUnsettled)]
 #[case(Fault::ClosesWithoutLease)]
 fn a_mechanism_of_early_fences_that_is_switched_off_is_noticed(#[case] fault: Fault) {
-    let deceived = first_deceived(SEEDS_OF_FAULTS, fault, Rule::Both);
-    assert!(deceived.is_some(), "{fault:?} went unnoticed");
+    let wrong_trust = first_wrong_trust(MAX_FAULT_SEEDS, fault, Rule::Both);
+    assert!(wrong_trust.is_some(), "{fault:?} went unnoticed");
 }
--- a/crates/dyketally/tests/fence_fuzz/node.rs
+++ b/crates/dyketally/tests/fence_fuzz/node.rs
@@ -1,4 +1,4 @@
-//! One node of the fuzzed world: what it has heard, and what it waits for.
+//! One node of the fuzzed world: its contact, what it reaches, and its pending requests.
 
 use std::time::Duration;
 
@@ -8,34 +8,34 @@
 use super::Fault;
 use super::world::Rule;
 
-/// Clocks run by up to so many thousandths faster or slower than true time.
+/// Largest rate by which clocks run faster or slower than true time: 0.04 is 40 ms in a second.
 pub const CLOCK_ERROR: f64 = 0.04;
 
-/// Steps that a node's watch may take to tell of a new leader once the store is reached again.
+/// Steps that a node's watch may take to report a new leader once the node reaches the store again.
 const WATCH_STEPS: usize = 30;
 /// Steps for which a watch that was lost counts as one that is being renewed.
 const RENEWED_STEPS: usize = 20;
 
-/// What a node tells another that asks how lately it was in touch.
+/// A node's reply to a request for its contact: how long ago it had each kind, and whether it knows of a fence.
 #[derive(Clone, Copy)]
-pub struct Told {
+pub struct ContactReport {
     pub store: Option<Duration>,
     pub majority: Option<Duration>,
     pub granted: Option<Duration>,
     pub fenced: bool,
 }
 
-/// A question that is under way.
+/// A request whose reply has yet to arrive.
 #[derive(Clone, Copy)]
-pub struct Question {
-    /// When it was asked, by the clock of whoever asked.
-    pub asked: Timestamp,
+pub struct Request {
+    /// When the request was sent, by the requester's clock.
+    pub sent_at: Timestamp,
     /// The step at which the reply comes.
     pub arrives: usize,
-    /// Who replies.
+    /// The node that replies.
     pub by: usize,
-    /// The reply, if it was given right away and not just before it arrives.
-    pub told: Option<Told>,
+    /// The reply, if it was composed when the request was sent and not when the reply arrives.
+    pub report: Option<ContactReport>,
 }
 
 #[derive(Clone, Default)]
@@ -44,96 +44,109 @@
     pub asked_nodes: Option<Timestamp>,
     pub renews_at: usize,
     pub fenced: bool,
-    /// The side of the partition it is on; nodes of different sides don't hear each other.
+    /// The node's side of the partition; nodes on different sides don't reach each other.
     pub side: usize,
     pub reaches_store: bool,
-    /// Steps for which it has reached the store without a break.
+    /// Steps for which the node has reached the store without a break.
     pub store_steps: usize,
-    /// The last step at which its watch stood.
+    /// The last step at which the node's watch was active.
     pub watched_until: usize,
     pub reaches_primary: bool,
-    /// The relay that it follows: it leaves the store and the other nodes to it.
+    /// The relay that the node follows and through which it has its contact with the store and the other nodes.
     pub follows: Option<usize>,
-    /// Its question to its relay for news.
-    pub ping: Option<Question>,
-    /// Its question for the short contact.
-    pub grant: Option<Question>,
-    /// The step until which it stands still.
+    /// The node's pending request for updates to its relay.
+    pub ping: Option<Request>,
+    /// The node's pending request for a grant of the short contact.
+    pub grant: Option<Request>,
+    /// The step until which the node is paused.
     pub frozen_until: usize,
-    /// How fast its clock runs.
+    /// Rate of the node's clock; 1.0 is true time.
     pub rate: f64,
 }
 
 impl Node {
-    /// Counts one more step, at the end of which it reaches the store or not.
+    /// Records for one more step whether the node reaches the store and whether its watch is active.
     pub fn reach_store(&mut self, step: usize) {
         self.store_steps = match self.reaches_store {
             true => self.store_steps + 1,
             false => 0,
         };
-        if self.was_told() {
+        if self.watch_caught_up() {
             self.watched_until = step;
         }
     }
 
-    /// True once its watch of the store has told all that it missed while it didn't reach the store.
-    pub fn was_told(&self) -> bool {
+    /// True once the node's watch has reported all that the node missed while it didn't reach the store.
+    pub fn watch_caught_up(&self) -> bool {
         self.store_steps > WATCH_STEPS
     }
 
-    /// True while its watch stands, or is being renewed.
+    /// True while the node's watch is active or is being renewed.
     pub fn watches(&self, step: usize) -> bool {
         step - self.watched_until < RENEWED_STEPS
     }
 
-    /// True while it trusts what the old primary says.
-    pub fn is_deceived(&self, now: Timestamp, fault: Fault, rule: Rule) -> bool {
-        let in_touch = match (fault, rule) {
+    /// True while the node trusts the answers of the old primary.
+    pub fn trusts_old_primary(&self, now: Timestamp, fault: Fault, rule: Rule) -> bool {
+        let in_contact = match (fault, rule) {
             (Fault::NeverIsolated, _) => true,
             (Fault::ShortContactNotNeeded, _) | (_, Rule::Long) => self.contact.is_long_held(now),
             (_, Rule::Both) => self.contact.is_held(now),
         };
-        self.reaches_primary && !self.fenced && in_touch
+        self.reaches_primary && !self.fenced && in_contact
     }
 
-    /// What it tells of itself; `holds` is true while it may grant the short contact.
-    pub fn tell(&self, now: Timestamp, holds: bool, fault: Fault) -> Told {
+    /// The node's report of its contact; `may_grant` is true while the node may grant the short contact.
+    pub fn contact_report(&self, now: Timestamp, may_grant: bool, fault: Fault) -> ContactReport {
         let held = self.contact.is_long_held(now);
-        let granted = match holds {
+        let granted = match may_grant {
             true => Some(Duration::ZERO),
             false => self.contact.granted_age(now),
         };
-        Told {
+        ContactReport {
             store: self.contact.store_age(now).filter(|_| held),
             majority: self.contact.majority_age(now).filter(|_| held),
             granted: granted.filter(|age| *age < SHORT_HOLDS),
-            fenced: self.fenced && fault != Fault::RelayedFencesKeptSecret,
+            fenced: self.fenced && fault != Fault::RelayedFencesNotReported,
         }
     }
 
-    /// Takes in what its relay told of the store and the other nodes.
-    pub fn take_news(&mut self, now: Timestamp, asked: Timestamp, told: Told, fault: Fault) {
-        self.fenced |= told.fenced;
-        if let Some(age) = told.store {
-            self.contact.store_replied(since(now, asked, age, fault));
+    /// Records what the node's relay reported of the store and the other nodes.
+    pub fn record_updates(
+        &mut self,
+        now: Timestamp,
+        sent_at: Timestamp,
+        report: ContactReport,
+        fault: Fault,
+    ) {
+        self.fenced |= report.fenced;
+        if let Some(age) = report.store {
+            self.contact.store_replied(since(now, sent_at, age, fault));
         }
-        if let Some(age) = told.majority {
-            self.contact.majority_replied(since(now, asked, age, fault));
+        if let Some(age) = report.majority {
+            self.contact
+                .majority_replied(since(now, sent_at, age, fault));
         }
     }
 
-    /// Takes in a grant of the short contact.
-    pub fn take_grant(&mut self, now: Timestamp, asked: Timestamp, told: Told, fault: Fault) {
-        self.fenced |= told.fenced && fault != Fault::GrantsWithoutFences;
-        if let Some(age) = told.granted {
-            self.contact.granted(since(now, asked, age, fault));
+    /// Records a grant of the short contact.
+    pub fn record_grant(
+        &mut self,
+        now: Timestamp,
+        sent_at: Timestamp,
+        report: ContactReport,
+        fault: Fault,
+    ) {
+        self.fenced |= report.fenced && fault != Fault::GrantsWithoutFences;
+        if let Some(age) = report.granted {
+            self.contact.granted(since(now, sent_at, age, fault));
         }
     }
 }
 
-fn since(now: Timestamp, asked: Timestamp, age: Duration, fault: Fault) -> Timestamp {
+fn since(now: Timestamp, sent_at: Timestamp, age: Duration, fault: Fault) -> Timestamp {
     match fault {
         Fault::RelayedAgeIgnored => now,
-        _ => asked - age,
+        _ => sent_at - age,
     }
 }
--- a/crates/dyketally/tests/fence_fuzz/round.rs
+++ b/crates/dyketally/tests/fence_fuzz/round.rs
@@ -1,4 +1,4 @@
-//! Rounds of fences around the primary, and its replacement.
+//! Fence rounds before the primary is replaced, and its replacement.
 
 use std::time::Duration;
 
@@ -10,69 +10,73 @@
 use super::world::{Rule, World};
 
 /// Steps between two rounds of asking nodes to confirm.
-const ASK_STEPS: usize = 3;
-/// Time that the store has told of a fence, and that half of the nodes have confirmed it, when the long
-/// contact of all others has ended.
-const LONG_ISOLATES: Duration = Duration::from_millis(3_200);
+const REQUEST_STEPS: usize = 3;
+/// The long contact of nodes that didn't confirm a fence has ended this long after the fence was published in the
+/// store, provided that `HALF_ISOLATES` has passed as well.
+const PUBLISHED_ISOLATES: Duration = Duration::from_millis(3_200);
+/// The long contact of nodes that didn't confirm a fence has ended this long after half of the nodes confirmed it,
+/// provided that `PUBLISHED_ISOLATES` has passed as well.
 const HALF_ISOLATES: Duration = Duration::from_millis(1_200);
 
-/// A round of whoever held the duty as it began.
+/// A fence round, owned by the node that held the duty when the round began.
 pub struct Round {
     round: FenceRound,
     owner: usize,
-    /// The step at which the answer comes that the store tells of the fence.
+    /// The step at which the store's answer comes that the fence is published.
     answer_at: Option<usize>,
-    /// Since when the owner knows that the store does, and that half of the nodes have confirmed.
+    /// Since when the owner knows that the fence is published, by the owner's clock.
     published: Option<Timestamp>,
+    /// Since when half of the nodes have confirmed, by the owner's clock.
     half: Option<Timestamp>,
     began: usize,
     confirmed: Vec<bool>,
 }
 
 impl World {
-    /// The holder of the duty replaces the primary when it doesn't reach it, and whoever began a round
-    /// goes on with it.
+    /// The holder of the duty begins a fence round when it doesn't reach the primary, and the owner of a round goes on
+    /// with it until the primary is replaced or the fence is cleared.
     pub fn replace(&mut self) {
         let holder = self.duty.holder;
         let owner = self.round.as_ref().map_or(holder, |round| round.owner);
-        let begins = !self.nodes[holder].reaches_primary && self.surely_holds(holder);
+        let begins = !self.nodes[holder].reaches_primary && self.is_certain_holder(holder);
         if self.replaced || self.is_frozen(owner) || !(self.round.is_some() || begins) {
             return;
         }
         let now = self.now(owner);
         let mut round = self.round.take().unwrap_or_else(|| self.new_round(owner));
-        if (self.step - round.began).is_multiple_of(ASK_STEPS) {
+        if (self.step - round.began).is_multiple_of(REQUEST_STEPS) {
             if self.step > round.began && round.answer_at.is_none() {
                 round.answer_at = self.publish(owner);
             }
-            self.ask(&mut round);
+            self.request_confirmations(&mut round);
         }
         if round.answer_at.is_some_and(|at| at <= self.step) {
             round.round.published(now);
             round.published.get_or_insert(now);
         }
-        let runs = self.surely_holds(owner) || self.fault == Fault::ClosesWithoutLease;
-        if !runs {
+        let lease_is_valid =
+            self.is_certain_holder(owner) || self.fault == Fault::ClosesWithoutLease;
+        if !lease_is_valid {
             round.round.lease_broken();
         }
-        match self.judged(&round) {
-            // Without the lease there is no token to appoint a successor with.
-            FenceVerdict::Closed if !runs => {}
+        match self.adjusted_verdict(&round) {
+            // Without the lease the owner has no token to appoint a successor with.
+            FenceVerdict::Closed if !lease_is_valid => {}
             FenceVerdict::Closed => {
                 self.replaced = true;
                 self.published = false;
                 self.closed_early = self.is_early(&round);
             }
             FenceVerdict::Open => self.round = Some(round),
-            FenceVerdict::Contested | FenceVerdict::NoQuorum => self.lift(owner),
+            FenceVerdict::Contested | FenceVerdict::NoQuorum => self.clear_fence(owner),
         }
     }
 
-    /// Has the store tell of the fence; the step at which its answer comes. It may be long under way,
-    /// and its sender stand still meanwhile.
+    /// Publishes the fence in the store and returns the step at which the answer comes. The owner may be paused
+    /// meanwhile.
     fn publish(&mut self, owner: usize) -> Option<usize> {
-        let lease_runs = self.true_time() < self.duty.ends || self.rule == Rule::Long;
-        if self.duty.holder != owner || !lease_runs || !self.nodes[owner].reaches_store {
+        let lease_is_valid = self.true_time() < self.duty.ends || self.rule == Rule::Long;
+        if self.duty.holder != owner || !lease_is_valid || !self.nodes[owner].reaches_store {
             return None;
         }
         self.published = true;
@@ -103,12 +107,12 @@
         }
     }
 
-    fn ask(&mut self, round: &mut Round) {
+    fn request_confirmations(&mut self, round: &mut Round) {
         let owner = round.owner;
         let now = self.now(owner);
         let mut confirmations = round.confirmed.iter().filter(|it| **it).count();
         for (index, confirmed) in round.confirmed.iter_mut().enumerate() {
-            if *confirmed || !self.hears(owner, index) {
+            if *confirmed || !self.reaches_node(owner, index) {
                 continue;
             }
             match self.nodes[index].reaches_primary {
@@ -130,7 +134,7 @@
         }
     }
 
-    fn judged(&self, round: &Round) -> FenceVerdict {
+    fn adjusted_verdict(&self, round: &Round) -> FenceVerdict {
         let verdict = round.round.verdict(self.now(round.owner));
         match (self.fault, verdict) {
             (fault, FenceVerdict::Closed) if self.is_early(round) && self.rule == Rule::Long => {
@@ -152,14 +156,15 @@
             since.is_some_and(|since| now.saturating_since(since) >= time)
         };
         let silent = round.confirmed.iter().any(|confirmed| !confirmed);
-        silent && !(lasted(round.published, LONG_ISOLATES) && lasted(round.half, HALF_ISOLATES))
+        silent
+            && !(lasted(round.published, PUBLISHED_ISOLATES) && lasted(round.half, HALF_ISOLATES))
     }
 
-    /// Nodes that don't hear it keep the fence.
-    fn lift(&mut self, owner: usize) {
+    /// Clears the fence at the store and at all nodes that the owner reaches; other nodes keep it.
+    fn clear_fence(&mut self, owner: usize) {
         self.published = false;
         for index in 0..self.nodes.len() {
-            if self.hears(owner, index) {
+            if self.reaches_node(owner, index) {
                 self.nodes[index].fenced = false;
             }
         }
--- a/crates/dyketally/tests/fence_fuzz/world.rs
+++ b/crates/dyketally/tests/fence_fuzz/world.rs
@@ -1,4 +1,4 @@
-//! The world that is fuzzed: nodes, the store with the lease of the duty, and one primary.
+//! The fuzzed world: nodes, the store with the lease of the duty, and one primary.
 
 use std::time::Duration;
 
@@ -9,34 +9,34 @@
 
 use super::Fault;
 use super::duty::Duty;
-use super::node::{CLOCK_ERROR, Node, Question, Told};
+use super::node::{CLOCK_ERROR, ContactReport, Node, Request};
 use super::round::Round;
 
 const STEP: Duration = Duration::from_millis(50);
 const STEPS: usize = 400;
 /// Steps between two renewals of a node's lease.
 const RENEWAL_STEPS: usize = 40;
-/// Steps between two pings of a node to the relay that it follows, and after which one is answered
-/// at the latest.
+/// Steps between two pings of a node to the relay that it follows.
 const PING_STEPS: usize = 7;
+/// Number of steps within which a ping is answered.
 const PONG_STEPS: usize = 5;
-/// Steps between two questions for the short contact.
+/// Steps between two requests for a grant of the short contact.
 const GRANT_STEPS: usize = 2;
 
 /// Which contact nodes need to trust a primary, and fences wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// The long one alone, and no fence closes early. Nodes are only cut off, and the first one keeps
-    /// the duty.
+    /// The long contact alone, and no fence closes early. Nodes are only cut off, and the first one keeps the duty.
     Long,
-    /// Both. Nodes stand still, too, clocks run at different rates, and the duty changes hands.
+    /// The long and the short contact. Nodes are also paused, clocks run at different rates, and the duty changes
+    /// hands.
     Both,
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct Outcome {
-    /// Who trusted the old primary after it was replaced.
-    pub deceived: Option<String>,
+    /// The step and the node at which the old primary was trusted after it was replaced.
+    pub wrong_trust: Option<String>,
     /// True when a fence closed before the long contact of the silent nodes had ended.
     pub closed_early: bool,
 }
@@ -49,10 +49,10 @@
     store_runs: bool,
     pub step: usize,
     pub duty: Duty,
-    /// Those that held the duty before.
-    pub former: Vec<Duty>,
+    /// Earlier tenures of the duty, oldest first.
+    pub former_duties: Vec<Duty>,
     pub round: Option<Round>,
-    /// True while the store tells of the fence.
+    /// True while the store reports the fence.
     pub published: bool,
     pub replaced: bool,
     pub closed_early: bool,
@@ -63,10 +63,10 @@
         let mut random = StdRng::seed_from_u64(seed);
         let count = random.random_range(1..9);
         let mut contact = Contact::default();
-        // What a node knows of primaries it has from the store.
+        // A node has its knowledge of primaries from the store.
         contact.store_replied(Timestamp::ZERO);
         contact.granted(Timestamp::ZERO);
-        // The first holder of the duty relies on nobody.
+        // The first holder of the duty follows no relay.
         let mut relays = vec![0];
         let follows: Vec<Option<usize>> = (0..count)
             .map(|index| {
@@ -99,7 +99,7 @@
             store_runs: true,
             step: 0,
             duty: Duty::first(),
-            former: Vec::new(),
+            former_duties: Vec::new(),
             round: None,
             published: false,
             replaced: false,
@@ -120,7 +120,7 @@
         self.nodes[index].frozen_until > self.step
     }
 
-    pub fn hears(&self, one: usize, other: usize) -> bool {
+    pub fn reaches_node(&self, one: usize, other: usize) -> bool {
         self.nodes[one].side == self.nodes[other].side && !self.is_frozen(other)
     }
 
@@ -141,7 +141,7 @@
             if let Some(relay) = &mut node.follows
                 && random.random_bool(0.3)
             {
-                // It takes another relay.
+                // The node follows another relay.
                 *relay = relays[random.random_range(0..relays.len())];
             }
             let besides = self.rule == Rule::Both;
@@ -154,18 +154,18 @@
         }
     }
 
-    /// Takes in what the relay of a node tells, and sends it the next ping.
-    fn rely_on(&mut self, index: usize, relay: usize) {
+    /// Records the reply of a node's relay, and sends the relay the next ping.
+    fn keep_contact_through(&mut self, index: usize, relay: usize) {
         let now = self.now(index);
         let arrived = self.nodes[index]
             .ping
             .take_if(|ping| ping.arrives <= self.step);
         if let Some(ping) = arrived
-            && self.hears(index, relay)
+            && self.reaches_node(index, relay)
             && ping.by == relay
         {
-            let told = ping.told.unwrap_or_else(|| self.tell(relay));
-            self.nodes[index].take_news(now, ping.asked, told, self.fault);
+            let report = ping.report.unwrap_or_else(|| self.contact_report(relay));
+            self.nodes[index].record_updates(now, ping.sent_at, report, self.fault);
         }
         let node = &self.nodes[index];
         let renews = self.step % RENEWAL_STEPS == node.renews_at && node.reaches_store;
@@ -173,54 +173,56 @@
             self.nodes[index].contact.store_replied(now);
         }
         if self.step % PING_STEPS == self.nodes[index].renews_at % PING_STEPS {
-            self.nodes[index].ping = self.question(index, relay, PONG_STEPS);
+            self.nodes[index].ping = self.send_request(index, relay, PONG_STEPS);
         }
     }
 
-    /// Asks for the short contact, and takes it in.
+    /// Records a grant of the short contact, and requests the next one.
     fn ask_for_grant(&mut self, index: usize) {
         let now = self.now(index);
         let arrived = self.nodes[index]
             .grant
             .take_if(|grant| grant.arrives <= self.step);
         if let Some(grant) = arrived
-            && self.hears(index, grant.by)
+            && self.reaches_node(index, grant.by)
         {
-            let told = grant.told.unwrap_or_else(|| self.tell(grant.by));
-            self.nodes[index].take_grant(now, grant.asked, told, self.fault);
+            let report = grant
+                .report
+                .unwrap_or_else(|| self.contact_report(grant.by));
+            self.nodes[index].record_grant(now, grant.sent_at, report, self.fault);
         }
         if self.grants(index) {
             self.nodes[index].contact.granted(now);
         } else if self.step.is_multiple_of(GRANT_STEPS) && self.nodes[index].grant.is_none() {
             let node = &self.nodes[index];
             let relay = node.follows.filter(|_| !node.contact.is_grant_late(now));
-            let mut holders = self.former.iter().map(|duty| duty.holder);
-            // It may not have heard yet who has the duty.
-            let former = holders.next_back().filter(|_| self.random.random_bool(0.3));
-            let by = relay.or(former).unwrap_or(self.duty.holder);
-            self.nodes[index].grant = self.question(index, by, GRANT_STEPS);
+            let mut holders = self.former_duties.iter().map(|duty| duty.holder);
+            // The node may not know yet which node has the duty.
+            let former_holder = holders.next_back().filter(|_| self.random.random_bool(0.3));
+            let by = relay.or(former_holder).unwrap_or(self.duty.holder);
+            self.nodes[index].grant = self.send_request(index, by, GRANT_STEPS);
         }
     }
 
-    fn question(&mut self, index: usize, by: usize, longest: usize) -> Option<Question> {
-        if !self.hears(index, by) {
+    fn send_request(&mut self, index: usize, by: usize, longest: usize) -> Option<Request> {
+        if !self.reaches_node(index, by) {
             return None;
         }
         let at_once = self.random.random_bool(0.5);
-        Some(Question {
-            asked: self.now(index),
+        Some(Request {
+            sent_at: self.now(index),
             arrives: self.step + self.random.random_range(0..longest),
             by,
-            told: at_once.then(|| self.tell(by)),
+            report: at_once.then(|| self.contact_report(by)),
         })
     }
 
-    fn tell(&self, index: usize) -> Told {
+    fn contact_report(&self, index: usize) -> ContactReport {
         let now = self.now(index);
-        self.nodes[index].tell(now, self.grants(index), self.fault)
+        self.nodes[index].contact_report(now, self.grants(index), self.fault)
     }
 
-    fn keep_in_touch(&mut self, index: usize) {
+    fn keep_contact(&mut self, index: usize) {
         match self.rule {
             Rule::Long => {
                 let now = self.now(index);
@@ -229,12 +231,12 @@
             Rule::Both => self.ask_for_grant(index),
         }
         if let Some(relay) = self.nodes[index].follows {
-            self.rely_on(index, relay);
+            self.keep_contact_through(index, relay);
             return;
         }
         let now = self.now(index);
         let fault = self.fault;
-        let told = self.published && fault != Fault::StoreNotTold;
+        let fenced_in_store = self.published && fault != Fault::FenceNotPublished;
         let is_holder = self.duty.holder == index && self.rule == Rule::Both;
         let node = &mut self.nodes[index];
         let renews = self.step % RENEWAL_STEPS == node.renews_at && !is_holder;
@@ -243,47 +245,50 @@
                 node.contact = Contact::default();
             }
             node.contact.store_replied(now);
-            node.fenced |= told;
+            node.fenced |= fenced_in_store;
         }
         let due = node.contact.ask_nodes_at(node.asked_nodes);
         if due.is_none_or(|at| at > now) {
             return;
         }
         let others = (0..self.nodes.len()).filter(|other| *other != index);
-        let heard: Vec<usize> = others.filter(|other| self.hears(index, *other)).collect();
-        let told = heard.iter().any(|other| self.nodes[*other].fenced);
-        let majority = is_majority(heard.len(), self.nodes.len());
+        let reached: Vec<usize> = others
+            .filter(|other| self.reaches_node(index, *other))
+            .collect();
+        let fenced_at_peer = reached.iter().any(|other| self.nodes[*other].fenced);
+        let majority = is_majority(reached.len(), self.nodes.len());
         let node = &mut self.nodes[index];
         node.asked_nodes = Some(now);
-        node.fenced |= told && self.fault != Fault::FencesKeptSecret;
+        node.fenced |= fenced_at_peer && self.fault != Fault::FencesNotReported;
         if majority {
             node.contact.majority_replied(now);
         }
     }
 
-    /// A node that would take the old primary's answer for a leader's without asking.
-    fn deceived(&self) -> Option<usize> {
+    /// A node that treats the old primary as the leader, without polling, after it was replaced.
+    fn wrong_trust(&self) -> Option<usize> {
         let mut indices = 0..self.nodes.len();
         let trusts = |index: usize| {
             let now = self.now(index);
-            !self.is_frozen(index) && self.nodes[index].is_deceived(now, self.fault, self.rule)
+            !self.is_frozen(index)
+                && self.nodes[index].trusts_old_primary(now, self.fault, self.rule)
         };
         self.replaced
             .then(|| indices.find(|index| trusts(*index)))
             .flatten()
     }
 
-    /// Nodes that reach the store hear of a successor there, a little later.
+    /// Nodes that reach the store receive a successor from there, after `WATCH_STEPS`.
     fn watch(&mut self) {
         for node in &mut self.nodes {
             node.reach_store(self.step);
             let watches = node.follows.is_none() && node.frozen_until <= self.step;
-            node.fenced |= watches && self.replaced && node.was_told();
+            node.fenced |= watches && self.replaced && node.watch_caught_up();
         }
     }
 
     pub fn run(mut self) -> Outcome {
-        let mut deceived = None;
+        let mut wrong_trust = None;
         for step in 0..STEPS {
             self.step = step;
             if self.random.random_bool(0.01) {
@@ -295,17 +300,17 @@
             }
             for index in 0..self.nodes.len() {
                 if !self.is_frozen(index) {
-                    self.keep_in_touch(index);
+                    self.keep_contact(index);
                 }
             }
             self.replace();
-            if let Some(index) = self.deceived() {
-                deceived = Some(format!("step {step}: node {index} of {}", self.nodes.len()));
+            if let Some(index) = self.wrong_trust() {
+                wrong_trust = Some(format!("step {step}: node {index} of {}", self.nodes.len()));
                 break;
             }
         }
         Outcome {
-            deceived,
+            wrong_trust,
             closed_early: self.closed_early,
         }
     }
--- a/crates/dyketally/tests/membership_wire/main.rs
+++ b/crates/dyketally/tests/membership_wire/main.rs
@@ -21,12 +21,12 @@
 fn datagrams_keep_their_bytes() {
     let written: String = messages().iter().map(line).collect();
     let file = concat!(env!("CARGO_TARGET_TMPDIR"), "/datagrams.txt");
-    std::fs::write(file, &written).expect("written for a look at the difference");
+    std::fs::write(file, &written).expect("the datagrams are written for comparison");
     assert_eq!(written, PINNED, "the bytes as they are now are in {file}");
 }
 
 #[test]
-fn pinned_bytes_are_read_as_the_datagrams_that_they_were() {
+fn pinned_bytes_decode_to_the_same_datagrams() {
     for (label, message) in messages() {
         let read = decode(&pinned(&label)).expect("decodes");
         assert_eq!(read, message, "{label}");
