--- a/crates/dyketally/tests/admission.rs
+++ b/crates/dyketally/tests/admission.rs
@@ -145,14 +145,14 @@
         enqueue(&mut queue, now, statement("late", "late"));
     }
     let order = drain(&mut queue, lone_milliseconds, 5);
-    let difference = |served: usize| {
-        let late = order[..served].iter().filter(|item| **item == "late");
+    let difference = |count: usize| {
+        let late = order[..count].iter().filter(|item| **item == "late");
         let late = late.count();
-        busy * u32::try_from(late.abs_diff(served - late)).expect("few")
+        busy * u32::try_from(late.abs_diff(count - late)).expect("few")
     };
     let max_difference = SAVED_SLOT_TIME + busy;
     assert!(
-        (1..=100).all(|served| difference(served) <= max_difference),
+        (1..=100).all(|count| difference(count) <= max_difference),
         "{:?}",
         &order[..100]
     );
--- a/crates/dyketally/tests/admission_model.rs
+++ b/crates/dyketally/tests/admission_model.rs
@@ -78,6 +78,7 @@
     stage: Stage,
     urgency: Urgency,
     latest_start: Timestamp,
+    /// The item in the queue: the number of statements accepted before this one.
     number: u64,
 }
 
@@ -89,6 +90,7 @@
     waiting: Vec<Queued>,
     running: Vec<Ticket>,
     accepted: u64,
+    /// Statements that have left the queue: admitted, withdrawn or expired.
     departed: u64,
 }
 
--- a/crates/dyketally/tests/configuration/stateful/mod.rs
+++ b/crates/dyketally/tests/configuration/stateful/mod.rs
@@ -71,7 +71,7 @@
     Outage(bool),
     /// One node sends another its revision.
     Probe { from: usize, to: usize },
-    /// One of the messages on their way arrives, in any order.
+    /// One of the pending messages is delivered, repeated or lost, in any order.
     Message(Index, MessageFate),
     /// Time passes for all nodes.
     Tick { milliseconds: u64 },
--- a/crates/dyketally/tests/configuration/sync.rs
+++ b/crates/dyketally/tests/configuration/sync.rs
@@ -48,13 +48,13 @@
 fn pull_all(node: &mut Synchronizer, peer: &Synchronizer) -> usize {
     let mut actions = node.peer_revision(name("peer"), peer.revision(), NOW);
     let mut replies = 0;
-    while let Some((asked, request)) = request(&actions) {
+    while let Some((receiver, request)) = request(&actions) {
         replies += 1;
         assert!(
             replies < 1000,
             "the node still pulls after {replies} replies"
         );
-        actions = node.pull_reply(&asked, peer.pull_request(request), NOW);
+        actions = node.pull_reply(&receiver, peer.pull_request(request), NOW);
     }
     replies
 }
@@ -204,11 +204,11 @@
     let mut node = node(0);
     let mut actions = node.peer_revision(name("peer"), Revision(10), NOW);
     let mut turn = 0;
-    while let Some((asked, request)) = request(&actions) {
+    while let Some((receiver, request)) = request(&actions) {
         let peer = [&large, &small][turn % 2];
         turn += 1;
         assert!(turn < 1000, "the node still pulls after {turn} replies");
-        actions = node.pull_reply(&asked, peer.pull_request(request), NOW);
+        actions = node.pull_reply(&receiver, peer.pull_request(request), NOW);
     }
     assert!(turn > 2);
     assert_eq!(node.snapshot(), large.snapshot());
@@ -258,16 +258,16 @@
 fn a_peer_that_claims_a_revision_it_does_not_have_gets_one_request() {
     let mut node = node(3);
     let mut actions = node.peer_revision(name("liar"), Revision(u64::MAX), NOW);
-    let mut asked = 0;
+    let mut requests = 0;
     while let Some((peer, _)) = request(&actions) {
-        asked += 1;
-        assert_eq!(asked, 1);
+        requests += 1;
+        assert_eq!(requests, 1);
         let reply = PullReply::Changes {
             changes: Vec::new(),
         };
         actions = node.pull_reply(&peer, reply, NOW);
     }
-    assert_eq!(asked, 1);
+    assert_eq!(requests, 1);
     assert_eq!(node.tick(NOW + Duration::from_secs(60)), []);
 }
 
--- a/crates/dyketally/tests/failover.rs
+++ b/crates/dyketally/tests/failover.rs
@@ -198,13 +198,13 @@
 #[case::no_grant_arrives_and_nodes_were_polled(1_000, Some(1_200), 1_400)]
 fn other_nodes_are_polled_when_grants_stop(
     #[case] granted: u64,
-    #[case] asked: Option<u64>,
+    #[case] last_polled: Option<u64>,
     #[case] due: u64,
 ) {
     let mut contact = Contact::default();
     contact.store_replied(at(100));
     contact.granted(at(granted));
-    assert_eq!(contact.ask_nodes_at(asked.map(at)), Some(at(due)));
+    assert_eq!(contact.ask_nodes_at(last_polled.map(at)), Some(at(due)));
 }
 
 #[test]
--- a/crates/dyketally/tests/failover_fuzz.rs
+++ b/crates/dyketally/tests/failover_fuzz.rs
@@ -27,6 +27,7 @@
 #[derive(Clone, Debug)]
 struct Appointment {
     token: u64,
+    /// The number of the decision that the appointment carries out.
     decided: usize,
     database: DatabaseName,
 }
@@ -42,8 +43,10 @@
     next_token: u64,
     holder: Holder,
     pending: Vec<Appointment>,
+    /// The greatest token that the service has seen in an appointment.
     fence: u64,
     decisions: usize,
+    /// The number of the latest decision that has taken effect.
     acknowledged: usize,
     leading: Option<DatabaseName>,
 }
--- a/crates/dyketally/tests/fairness/simulation/fair.rs
+++ b/crates/dyketally/tests/fairness/simulation/fair.rs
@@ -74,7 +74,7 @@
         assert!(held_a_slot, "{job:?} held no slot");
     }
 
-    /// Removes the queued statements that can no longer end within their deadline.
+    /// Removes the queued statements that have expired.
     pub fn expire(&mut self, now: Timestamp) {
         for expired in self.queue.expire(now, &mut self.random) {
             self.tickets.remove(&expired.item.number);
--- a/crates/dyketally/tests/freshness_fuzz.rs
+++ b/crates/dyketally/tests/freshness_fuzz.rs
@@ -42,6 +42,7 @@
 
 struct Commit {
     session: usize,
+    /// When the session got the acknowledgement, in milliseconds.
     acknowledged: Option<u64>,
     rolled_back: bool,
 }
--- a/crates/dyketally/tests/history.rs
+++ b/crates/dyketally/tests/history.rs
@@ -104,7 +104,7 @@
 #[case::mixed(&[BEGIN, OTHER], finds!(Violation::TransactionsMixed { .. }))]
 #[case::moved(&[BEGIN, COMMIT_ELSEWHERE], finds!(Violation::TransactionMoved { .. }))]
 #[case::after_its_end(&[BEGIN, COMMIT, COMMIT], finds!(Violation::TransactionMoved { .. }))]
-#[case::work_after_leaving(&[LEAVING, LATE], finds!(Violation::WorkAfterLeaving { .. }))]
+#[case::transaction_after_leaving(&[LEAVING, LATE], finds!(Violation::WorkAfterLeaving { .. }))]
 #[case::cut_off(&[CUT_OFF], finds!(Violation::StopCutOff { .. }))]
 #[case::reverted(&[IN_FORCE, IN_FORCE_OLDER], finds!(Violation::ConfigurationReverted { .. }))]
 #[case::two_accepted(&[ACCEPTED, ACCEPTED_OTHER], finds!(Violation::ConfigurationForked { .. }))]
--- a/crates/dyketally/tests/key_trust.rs
+++ b/crates/dyketally/tests/key_trust.rs
@@ -60,8 +60,8 @@
     assert!(trust.holds(at(600)));
 }
 
-/// Keys are trusted for more than four confirmation intervals: enough for a watch that is asked twice, one request to a
-/// relay, and the transfer.
+/// Keys are trusted for more than four confirmation intervals: enough for a watch that needs two requests, one request
+/// to a relay, and the transfer.
 #[test]
 fn regular_confirmations_keep_keys_trusted() {
     let pause = REFUSING.confirmed_each().expect("a pause");
@@ -74,8 +74,8 @@
 #[derive(Clone, Debug)]
 enum Step {
     AdvanceClock(u64),
-    StoreAnswersRelay { asked_before: u64 },
-    RelayAnswersNode { asked_before: u64 },
+    StoreAnswersRelay { request_age: u64 },
+    RelayAnswersNode { request_age: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -84,8 +84,8 @@
         (0_u64..3_000).prop_map(Step::AdvanceClock),
         before
             .clone()
-            .prop_map(|asked_before| Step::StoreAnswersRelay { asked_before }),
-        before.prop_map(|asked_before| Step::RelayAnswersNode { asked_before }),
+            .prop_map(|request_age| Step::StoreAnswersRelay { request_age }),
+        before.prop_map(|request_age| Step::RelayAnswersNode { request_age }),
     ]
 }
 
@@ -105,14 +105,14 @@
         for step in steps {
             match step {
                 Step::AdvanceClock(time) => now += time,
-                Step::StoreAnswersRelay { asked_before } => {
-                    relay.confirm(at(now - asked_before));
-                    relay_current_at = relay_current_at.max(now - asked_before);
+                Step::StoreAnswersRelay { request_age } => {
+                    relay.confirm(at(now - request_age));
+                    relay_current_at = relay_current_at.max(now - request_age);
                 }
-                Step::RelayAnswersNode { asked_before } => {
+                Step::RelayAnswersNode { request_age } => {
                     // The relay answered at some time after the request; an answer just now is the worst case.
                     if let Some(age) = relay.age(at(now)) {
-                        node.confirm_relayed(at(now - node_start - asked_before), age);
+                        node.confirm_relayed(at(now - node_start - request_age), age);
                         node_current_at = node_current_at.max(relay_current_at);
                     }
                 }
--- a/crates/dyketally/tests/quota.rs
+++ b/crates/dyketally/tests/quota.rs
@@ -184,7 +184,7 @@
     nodes: Vec<Allowance>,
     /// Whether each node is cut off from all others.
     cut: Vec<bool>,
-    /// Nodes up to this one are split off from the others, with a stand-in among them.
+    /// Nodes with an index below this one are split off from the others, with the stand-in among them.
     split: usize,
     /// The index of the acting accountant; the other one is the stand-in.
     acting: usize,
@@ -193,6 +193,7 @@
     with_faults: bool,
     /// When operations ran.
     arrivals: VecDeque<Timestamp>,
+    /// The largest number of operations found in a window so far.
     most: usize,
     refused: usize,
     requested: usize,
--- a/crates/dyketally/tests/slow_start.rs
+++ b/crates/dyketally/tests/slow_start.rs
@@ -204,11 +204,15 @@
     listed: Vec<usize>,
     /// The updates of the store, with their times in milliseconds.
     updates: Vec<(u64, StoreUpdate)>,
+    /// When the database last started, in milliseconds; 0 before its first restart.
     started: u64,
+    /// Until when the database is down, in milliseconds.
     down_until: u64,
     /// Requests that arrived while the database was cold.
     arrivals: VecDeque<(u64, u32)>,
+    /// The largest number of requests within 1 s so far.
     most: u32,
+    /// All requests that were sent to the cold database.
     sent_cold: u64,
 }
 
--- a/crates/dyketally/tests/slow_start_at_size.rs
+++ b/crates/dyketally/tests/slow_start_at_size.rs
@@ -78,8 +78,11 @@
 struct Results {
     /// Most requests to one database within 1 s of any request to it.
     most: u32,
+    /// Requests that callers offered, by second.
     offered: [u32; 15],
-    served: [u32; 15],
+    /// Requests that holders sent to the databases, by second.
+    granted: [u32; 15],
+    /// Requests that a node handed over to a holder, by second, with repetitions.
     hand_overs: [u32; 15],
 }
 
@@ -109,7 +112,7 @@
     let mut results = Results {
         most: 0,
         offered: [0; 15],
-        served: [0; 15],
+        granted: [0; 15],
         hand_overs: [0; 15],
     };
     let mut arrivals: Vec<Vec<u64>> = vec![Vec::new(); COLD];
@@ -150,7 +153,7 @@
                 if throttle.pace(now, Some(now)) == Pace::After(Duration::ZERO) {
                     throttle.sent(now, 1);
                     arrivals[database].push(now_ms);
-                    results.served[second] += 1;
+                    results.granted[second] += 1;
                     break;
                 }
             }
@@ -176,13 +179,13 @@
     );
     for second in 0..15 {
         println!(
-            "second {second}: offered {}, served {}, handed over {}",
-            results.offered[second], results.served[second], results.hand_overs[second]
+            "second {second}: offered {}, granted {}, handed over {}",
+            results.offered[second], results.granted[second], results.hand_overs[second]
         );
     }
     assert!(f64::from(results.most) <= f64::from(RATE) * MARGIN.overrun + MARGIN.slack);
     // While all holders run, little of the rate is left unused.
     let rate = f64::from(RATE) * COLD as f64;
-    let used = f64::from(results.served[2]) / rate;
+    let used = f64::from(results.granted[2]) / rate;
     assert!(used > 0.8, "{used} of the rate was used");
 }
