--- a/crates/dyketally-gateway/src/context/contact.rs
+++ b/crates/dyketally-gateway/src/context/contact.rs
@@ -4,7 +4,7 @@
 use std::cell::{Cell, RefCell, RefMut};
 use std::time::Duration;
 
-use dyketally::failover::{Contact, StandingFence};
+use dyketally::failover::{ActiveFence, Contact};
 use dyketally::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
@@ -18,7 +18,7 @@
     /// How long before the report the relay sent the last request that more than half of the nodes answered.
     pub majority: Option<Duration>,
     /// The fences that are in force at the relay.
-    pub fenced: Vec<StandingFence>,
+    pub fenced: Vec<ActiveFence>,
 }
 
 /// This node's contact with the store and with the other nodes.
@@ -38,18 +38,18 @@
     /// The time up to which this node knows the store's content; `None` if that is too long ago, or while this
     /// node still receives what it missed.
     pub fn store_known_as_of(&self, now: Timestamp) -> Option<Timestamp> {
-        self.state.borrow().heard_store(now)
+        self.state.borrow().store_known_as_of(now)
     }
 
     /// Discards this node's contact with the store, as it is giving back its leases, or the relay that it gets
     /// its updates from has lost the store.
     pub fn discard_store_contact(&self) {
-        self.state.borrow_mut().store_given_up();
+        self.state.borrow_mut().discard_store_contact();
     }
 
     /// Records that the store replied to a request sent at `asked`, by this node or by its relay.
     pub fn store_replied(&self, asked: Timestamp) {
-        self.state.borrow_mut().store_replied(asked);
+        self.state.borrow_mut().record_store_reply(asked);
     }
 
     /// Records that the store replied directly to a request that this node sent at `asked`.
@@ -63,7 +63,7 @@
     /// True when this node would be notified of a primary that is being replaced, so that it needn't check for
     /// another leader.
     pub fn is_in_contact(&self) -> bool {
-        self.contact.state.borrow().is_held(self.now())
+        self.contact.state.borrow().is_in_contact(self.now())
     }
 
     /// True when the store has replied directly to this node before, but not to any request sent within `time`.
--- a/crates/dyketally-gateway/src/database/connection/error.rs
+++ b/crates/dyketally-gateway/src/database/connection/error.rs
@@ -41,7 +41,7 @@
     pub reason: String,
 }
 
-impl BrokenConnection {
+impl Disconnected {
     /// An error with the cause `reason`.
     pub fn new(reason: impl ToString) -> Self {
         Self {
--- a/crates/dyketally-gateway/src/database/connection/mod.rs
+++ b/crates/dyketally-gateway/src/database/connection/mod.rs
@@ -20,7 +20,7 @@
 
 pub use self::answer::{Answer, end_outside_transaction};
 pub use self::connector::{Connector, Destination, Forwarding, Route};
-pub use self::error::{BrokenConnection, OpenError};
+pub use self::error::{Disconnected, OpenError};
 use self::session_state::SessionState;
 pub use self::socket::{is_open_without_input, prepare_socket};
 
@@ -148,9 +148,9 @@
     async fn exchange(
         &mut self,
         commands: &[DatabaseCommand],
-    ) -> Result<Vec<Answer>, BrokenConnection> {
+    ) -> Result<Vec<Answer>, Disconnected> {
         self.unanswered += commands.len();
-        self.send(commands).await.map_err(BrokenConnection::new)?;
+        self.send(commands).await.map_err(Disconnected::new)?;
         let mut answers = Vec::with_capacity(commands.len());
         for _ in commands {
             answers.push(self.read_answer().await?);
@@ -167,7 +167,7 @@
         self.stream.write_all(&output).await
     }
 
-    async fn read_answer(&mut self) -> Result<Answer, BrokenConnection> {
+    async fn read_answer(&mut self) -> Result<Answer, Disconnected> {
         let mut rows = Vec::new();
         let mut end = Err(Failure {
             kind: FailureKind::Other,
@@ -190,16 +190,16 @@
         }
     }
 
-    async fn next_reply(&mut self) -> Result<Reply, BrokenConnection> {
+    async fn next_reply(&mut self) -> Result<Reply, Disconnected> {
         loop {
             let decoded = self.protocol.decode(&mut self.input);
-            if let Some(reply) = decoded.map_err(BrokenConnection::new)? {
+            if let Some(reply) = decoded.map_err(Disconnected::new)? {
                 return Ok(reply);
             }
             self.input.reserve(READ_CHUNK);
             let read = self.stream.read_buf(&mut self.input).await;
-            if read.map_err(BrokenConnection::new)? == 0 {
-                return Err(BrokenConnection::new("closed by the database"));
+            if read.map_err(Disconnected::new)? == 0 {
+                return Err(Disconnected::new("closed by the database"));
             }
         }
     }
--- a/crates/dyketally-gateway/src/database/connection_request.rs
+++ b/crates/dyketally-gateway/src/database/connection_request.rs
@@ -1,6 +1,6 @@
 //! Requests for a connection: purpose, priority and time limits, and the reason of a refusal.
 
-use dyketally::admission::Patience;
+use dyketally::admission::QueueTimeouts;
 use dyketally::eligibility::{Denial, ServingRegions};
 use dyketally::statement::FailureKind;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     /// Deadline for the connection, including the time to open one.
     pub deadline: Instant,
     /// Limits of the wait in the queue.
-    pub queue_timeout: Patience,
+    pub queue_timeout: QueueTimeouts,
     /// Purpose of the connection.
     pub connection_use: ConnectionUse,
     /// The user for whom the connection must be open; `None` if any user's connection will do, as for the
--- a/crates/dyketally-gateway/src/database/eligibility.rs
+++ b/crates/dyketally-gateway/src/database/eligibility.rs
@@ -3,7 +3,9 @@
 //! and again immediately before each send.
 
 use dyketally::directory::{Member, MemberState};
-use dyketally::eligibility::{Denial, EligibilityBounds, Intent, Permission, Standing, judge};
+use dyketally::eligibility::{
+    DatabaseCondition, Denial, EligibilityBounds, Intent, Permission, check_eligibility,
+};
 use dyketally::identifiers::{DatabaseName, GroupName};
 
 use super::Databases;
@@ -47,7 +49,7 @@
             .map(|since| now.saturating_since(since));
         let has_successor =
             evacuated_for.is_some() && self.has_successor(&announcement.group, member.name());
-        let standing = Standing {
+        let standing = DatabaseCondition {
             database: member.name(),
             region: &region,
             fenced: self.is_fenced(member.name()),
@@ -55,7 +57,7 @@
             evacuated_for,
             has_successor,
         };
-        judge(intent, standing, self.eligibility_bounds())
+        check_eligibility(intent, standing, self.eligibility_bounds())
     }
 
     /// The lasting reason why statements that require `intent` can't run at any database of `group`: it holds
--- a/crates/dyketally-gateway/src/database/evacuation.rs
+++ b/crates/dyketally-gateway/src/database/evacuation.rs
@@ -13,19 +13,22 @@
 impl Databases {
     /// Replaces the set of evacuated zones by `zones`.
     pub fn set_evacuations(&self, zones: &BTreeSet<ZoneName>) {
-        let changes = self.evacuations.borrow_mut().replaced(zones);
+        let changes = self.evacuations.borrow_mut().replace_all(zones);
         self.evacuations_changed(changes);
     }
 
     /// Records that an operator requested the evacuation of `zone`.
     pub fn evacuation_requested(&self, zone: ZoneName) {
-        let change = self.evacuations.borrow_mut().requested(self.cx.now(), zone);
+        let change = self
+            .evacuations
+            .borrow_mut()
+            .record_request(self.cx.now(), zone);
         self.evacuations_changed(change);
     }
 
     /// Records that an operator cancelled the evacuation of `zone`.
     pub fn evacuation_cancelled(&self, zone: &ZoneName) {
-        let change = self.evacuations.borrow_mut().taken_back(zone);
+        let change = self.evacuations.borrow_mut().record_cancelled(zone);
         self.evacuations_changed(change);
     }
 
--- a/crates/dyketally-gateway/src/database/fences.rs
+++ b/crates/dyketally-gateway/src/database/fences.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use dyketally::failover::{FenceId, StandingFence};
+use dyketally::failover::{ActiveFence, FenceId};
 use dyketally::identifiers::DatabaseName;
 use dyketally::time::Timestamp;
 use tokio::time::Instant;
@@ -30,7 +30,7 @@
         let was_fenced = self.is_fenced(&database);
         let now = self.cx.now();
         let mut fences = self.fences.borrow_mut();
-        let is_set = fences.put_up(now, database.clone(), id);
+        let is_set = fences.set(now, database.clone(), id);
         drop(fences);
         if is_set && !was_fenced {
             self.log_fence_set(&database, source);
@@ -41,7 +41,7 @@
 
     /// True while `database` must not be treated as the leader of its group.
     pub fn is_fenced(&self, database: &DatabaseName) -> bool {
-        self.fences.borrow().holds(self.cx.now(), database)
+        self.fences.borrow().is_fenced(self.cx.now(), database)
     }
 
     /// The round of the fence around `database`; `None` if the database isn't fenced at this node.
@@ -51,21 +51,21 @@
 
     /// True when a fence around `database` was cleared at or after `sent` because it leads again.
     pub fn regained_lead_since(&self, sent: Timestamp, database: &DatabaseName) -> bool {
-        self.fences.borrow().led_anew_since(sent, database)
+        self.fences.borrow().regained_lead_since(sent, database)
     }
 
     /// The fences in force at this node, with their ages.
-    pub fn active_fences(&self) -> Vec<StandingFence> {
-        self.fences.borrow().standing(self.cx.now())
+    pub fn active_fences(&self) -> Vec<ActiveFence> {
+        self.fences.borrow().active(self.cx.now())
     }
 
     /// Adds fences that are in force at the node or relay `source`.
-    pub fn merge_fences(&self, fenced: impl IntoIterator<Item = StandingFence>, source: &str) {
+    pub fn merge_fences(&self, fenced: impl IntoIterator<Item = ActiveFence>, source: &str) {
         let now = self.cx.now();
         for fence in fenced {
             let database = fence.database.clone();
             let was_fenced = self.is_fenced(&database);
-            self.fences.borrow_mut().heard(now, fence);
+            self.fences.borrow_mut().merge(now, fence);
             if !was_fenced && self.is_fenced(&database) {
                 self.log_fence_set(&database, source);
             }
@@ -84,7 +84,7 @@
         if self.is_fenced(database) {
             self.log_fence_cleared(database);
         }
-        self.fences.borrow_mut().lift(self.cx.now(), database);
+        self.fences.borrow_mut().clear(self.cx.now(), database);
         self.cx.changes.notify();
     }
 
@@ -92,7 +92,7 @@
     pub fn clear_fence_round(&self, database: &DatabaseName, id: FenceId) {
         let was_fenced = self.is_fenced(database);
         let mut fences = self.fences.borrow_mut();
-        fences.lift_round(self.cx.now(), database, id);
+        fences.clear_round(self.cx.now(), database, id);
         drop(fences);
         if was_fenced && !self.is_fenced(database) {
             self.log_fence_cleared(database);
--- a/crates/dyketally-gateway/src/database/pacer.rs
+++ b/crates/dyketally-gateway/src/database/pacer.rs
@@ -92,29 +92,41 @@
 
     /// Sets whether this node is one of those that may send to the database while it is cold.
     pub fn set_holder(&self, holds: bool) {
-        self.throttle.borrow_mut().hold(self.now(), holds);
+        self.throttle.borrow_mut().set_holder(self.now(), holds);
     }
 
     /// Records that the database announced itself as cold for another `cold_for`.
     pub fn record_announcement(&self, cold_for: Duration) {
         let now = self.now();
-        self.throttle.borrow_mut().warmth().announced(now, cold_for);
+        self.throttle
+            .borrow_mut()
+            .cold_state()
+            .record_announcement(now, cold_for);
     }
 
     /// Records that the database may have restarted, or may restart, without this node's knowledge.
     pub fn record_possible_restart(&self) {
-        self.throttle.borrow_mut().warmth().doubted(self.now());
+        self.throttle
+            .borrow_mut()
+            .cold_state()
+            .record_possible_restart(self.now());
     }
 
     /// Records that the database answered on a connection whose opening began at `opened`.
     pub fn answered(&self, opened: Instant) {
         let (now, opened) = (self.now(), self.at(opened));
-        self.throttle.borrow_mut().warmth().answered(now, opened);
+        self.throttle
+            .borrow_mut()
+            .cold_state()
+            .record_answer(now, opened);
     }
 
     /// Records that the database answered another node.
     pub fn answered_another_node(&self) {
-        self.throttle.borrow_mut().warmth().ran(self.now());
+        self.throttle
+            .borrow_mut()
+            .cold_state()
+            .record_running(self.now());
     }
 
     /// Whether, and after which wait, this node may send to the database.
@@ -126,7 +138,7 @@
 
     /// True while the database may be cold.
     pub fn is_cold(&self) -> bool {
-        self.pace() != Pace::Free
+        self.pace() != Pace::Unlimited
     }
 
     /// Remaining time for which the database announced itself as cold; zero where its group has no slow start.
@@ -140,7 +152,7 @@
 
     /// Fraction of its usual reads that the database should get, from 0 to 1.
     pub fn read_share(&self) -> f64 {
-        self.throttle.borrow().share(self.now())
+        self.throttle.borrow().read_share(self.now())
     }
 
     /// The status; `None` if the database's group has no slow start.
@@ -159,9 +171,9 @@
     /// True when the rate admits another batch, so that it may be given a connection.
     pub fn admits(&self) -> bool {
         match self.pace() {
-            Pace::Free => true,
+            Pace::Unlimited => true,
             Pace::After(wait) => wait.is_zero() && self.reserved.get() == 0,
-            Pace::Elsewhere | Pace::Unsettled => false,
+            Pace::NotHolder | Pace::FormerMaySend => false,
         }
     }
 
@@ -176,14 +188,14 @@
     /// The database is cold and this node may not send to it.
     pub fn expected_wait(&self, ahead: usize) -> Result<Duration, Denial> {
         match self.pace() {
-            Pace::Free => Ok(Duration::ZERO),
+            Pace::Unlimited => Ok(Duration::ZERO),
             Pace::After(wait) => {
                 let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
                 let before = ahead.saturating_add(self.reserved.get());
                 let each = self.throttle.borrow().interval() * TYPICAL_BATCH_REQUESTS;
                 Ok(wait.saturating_add(each.saturating_mul(before)))
             }
-            Pace::Elsewhere | Pace::Unsettled => Err(Denial::Cold),
+            Pace::NotHolder | Pace::FormerMaySend => Err(Denial::Cold),
         }
     }
 
@@ -203,7 +215,7 @@
         let until = Instant::now() + SEND_WAIT_LIMIT;
         loop {
             match self.pace() {
-                Pace::Free => return Ok(()),
+                Pace::Unlimited => return Ok(()),
                 Pace::After(wait) if wait.is_zero() => {
                     self.record_sent(requests);
                     return Ok(());
@@ -211,13 +223,13 @@
                 Pace::After(wait) if Instant::now() + wait <= until => {
                     tokio::time::sleep(wait).await;
                 }
-                Pace::After(_) | Pace::Elsewhere | Pace::Unsettled => return Err(Denial::Cold),
+                Pace::After(_) | Pace::NotHolder | Pace::FormerMaySend => return Err(Denial::Cold),
             }
         }
     }
 
     fn record_sent(&self, requests: u32) {
-        self.throttle.borrow_mut().sent(self.now(), requests);
+        self.throttle.borrow_mut().record_sent(self.now(), requests);
         self.sent.set(self.sent.get() + u64::from(requests));
     }
 }
--- a/crates/dyketally-gateway/src/database/pool/checkout.rs
+++ b/crates/dyketally-gateway/src/database/pool/checkout.rs
@@ -9,7 +9,7 @@
 use super::Pool;
 use super::guards::Guards;
 use crate::database::batch::Batch;
-use crate::database::connection::{Answer, BrokenConnection, Connection};
+use crate::database::connection::{Answer, Connection, Disconnected};
 use crate::measures::Stage;
 
 /// A checked-out connection. Dropping it closes the connection; [`Checkout::give_back`] returns it to the pool.
@@ -27,7 +27,7 @@
     Denied(#[from] Denial),
     /// The connection broke; any of the steps may have run.
     #[error(transparent)]
-    Broken(#[from] BrokenConnection),
+    Broken(#[from] Disconnected),
 }
 
 impl Checkout {
@@ -72,7 +72,7 @@
             .expect("a checkout has its connection until it is given back");
         let opened = connection.opening_began();
         let began = Instant::now();
-        let silence = self.pool.gate.borrow().silence();
+        let silence = self.pool.gate.borrow().answer_lost_after();
         let run = connection.run(batch);
         tokio::pin!(run);
         let answers = match tokio::time::timeout(silence, &mut run).await {
--- a/crates/dyketally-gateway/src/database/pool/guards.rs
+++ b/crates/dyketally-gateway/src/database/pool/guards.rs
@@ -64,14 +64,14 @@
 
 impl Running {
     pub(super) fn begin(pool: &Rc<Pool>) -> Self {
-        pool.gate.borrow_mut().begins();
+        pool.gate.borrow_mut().record_begin();
         Self { pool: pool.clone() }
     }
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.pool.gate.borrow_mut().ended(self.pool.now());
+        self.pool.gate.borrow_mut().record_end(self.pool.now());
         self.pool.wake_next();
     }
 }
@@ -106,7 +106,7 @@
 
 impl Waiting {
     pub(super) fn begin(pool: &Rc<Pool>, rank: Rank) -> Self {
-        pool.gate.borrow_mut().waits(pool.now(), rank);
+        pool.gate.borrow_mut().record_waiting(pool.now(), rank);
         Self {
             pool: pool.clone(),
             rank,
@@ -116,6 +116,6 @@
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        self.pool.gate.borrow_mut().waits_no_more(self.rank);
+        self.pool.gate.borrow_mut().record_left_queue(self.rank);
     }
 }
--- a/crates/dyketally-gateway/src/database/pool/mod.rs
+++ b/crates/dyketally-gateway/src/database/pool/mod.rs
@@ -148,7 +148,7 @@
 
     /// Sets the database's number of slots and the number of nodes that share them.
     pub fn set_slots(&self, slots: u32, holders: usize) {
-        self.gate.borrow_mut().share_out(slots, holders);
+        self.gate.borrow_mut().set_share(slots, holders);
         self.wake_next();
     }
 
@@ -195,7 +195,7 @@
                 false => self
                     .gate
                     .borrow()
-                    .patience(self.now(), request.queue_timeout),
+                    .queue_timeout(self.now(), request.queue_timeout),
             };
             let expected = self.gate.borrow().expected_wait(request.priority);
             if expected.is_some_and(|expected| expected > queue_timeout) {
@@ -232,8 +232,8 @@
         let busy = |answer: &Answer| matches!(&answer.end, Err(failure) if failure.kind == FailureKind::Busy);
         let mut gate = self.gate.borrow_mut();
         match answers.iter().any(busy) {
-            true => gate.turned_away(self.now()),
-            false => gate.ran(elapsed),
+            true => gate.record_rejection(self.now()),
+            false => gate.record_answer(elapsed),
         }
     }
 
--- a/crates/dyketally-gateway/src/database/regions.rs
+++ b/crates/dyketally-gateway/src/database/regions.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use dyketally::eligibility::{ServingRegions, best_regions, preferred_region};
+use dyketally::eligibility::{ServingRegions, acceptable_regions, preferred_region};
 use dyketally::identifiers::{DatabaseName, GroupName, RegionName, ZoneName};
 
 use super::Databases;
@@ -19,7 +19,7 @@
             return ServingRegions::anywhere();
         }
         let candidates = self.usable_regions(&primary.group, Some(&primary.name));
-        let regions = best_regions(&routes.demands(&primary.group), &candidates);
+        let regions = acceptable_regions(&routes.demands(&primary.group), &candidates);
         ServingRegions::only(regions)
     }
 
--- a/crates/dyketally-gateway/src/database/slow_start.rs
+++ b/crates/dyketally-gateway/src/database/slow_start.rs
@@ -97,7 +97,7 @@
 /// Number of nodes that may send to a database of `group` while it is cold.
 pub fn cold_senders(cx: &Context, group: &GroupName) -> usize {
     let rule = slow_start_rule(cx, group);
-    rule.map_or(0, |rule| Budget::of(rule.rate, margin(cx)).holders)
+    rule.map_or(0, |rule| Budget::for_rate(rule.rate, margin(cx)).holders)
 }
 
 fn slow_start_rule(cx: &Context, group: &GroupName) -> Option<SlowStart> {
--- a/crates/dyketally-gateway/src/decision/admit.rs
+++ b/crates/dyketally-gateway/src/decision/admit.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use dyketally::admission::Patience;
+use dyketally::admission::QueueTimeouts;
 
 /// Queue timeout in a standing queue, as a share of the route's latency objective. Share of the value of
 /// all requests that a small fleet earned, mean of 17 days under faults and load: 0.9114 with 0.25, 0.9197
@@ -21,9 +21,9 @@
 pub const MIN_QUEUE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Queue timeouts of a statement on a route with this latency objective.
-pub fn queue_timeouts(objective: Duration) -> Patience {
+pub fn queue_timeouts(objective: Duration) -> QueueTimeouts {
     let share = |share: f64| objective.mul_f64(share).max(MIN_QUEUE_TIMEOUT);
-    Patience {
+    QueueTimeouts {
         burst: share(BURST_QUEUE_SHARE),
         standing: share(STANDING_QUEUE_SHARE),
     }
--- a/crates/dyketally-gateway/src/fleet/access.rs
+++ b/crates/dyketally-gateway/src/fleet/access.rs
@@ -14,7 +14,7 @@
 
 use crate::database::Databases;
 use crate::database::batch::Batch;
-use crate::database::connection::{Answer, BrokenConnection};
+use crate::database::connection::{Answer, Disconnected};
 use crate::database::connection_request::{ConnectionRequest, ConnectionUse};
 use crate::database::health::InFlight;
 use crate::database::pacer::SEND_WAIT_LIMIT;
@@ -41,7 +41,7 @@
     /// No step was run.
     NotRun(FailureKind),
     /// The batch was sent and its answers were lost, so that any step may have run.
-    Lost(BrokenConnection),
+    Lost(Disconnected),
 }
 
 /// Access to databases by all paths that this node has.
--- a/crates/dyketally-gateway/src/fleet/coordinator.rs
+++ b/crates/dyketally-gateway/src/fleet/coordinator.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dyketally::failover::GRANTS_SETTLE;
+use dyketally::failover::NEW_COORDINATOR_GRANT_DELAY;
 use dyketally::identifiers::{DatabaseName, GroupName};
 use dyketally_store::key_value::{Entry, LeaseId};
 use tokio::sync::Notify;
@@ -171,10 +171,10 @@
     }
 
     /// True while this node may grant contact to other nodes: its lease lasts, and its term began at least
-    /// [`GRANTS_SETTLE`] ago.
+    /// [`NEW_COORDINATOR_GRANT_DELAY`] ago.
     pub fn may_grant(&self) -> bool {
         let began = self.term_began.get();
-        let is_settled = began.is_some_and(|at| at.elapsed() >= GRANTS_SETTLE);
+        let is_settled = began.is_some_and(|at| at.elapsed() >= NEW_COORDINATOR_GRANT_DELAY);
         is_settled && self.term().is_some()
     }
 
--- a/crates/dyketally-gateway/src/fleet/home.rs
+++ b/crates/dyketally-gateway/src/fleet/home.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dyketally::admission::Patience;
+use dyketally::admission::QueueTimeouts;
 use dyketally::eligibility::{Denial, Intent, Permission, ServingRegions};
 use dyketally::statement::FailureKind;
 use futures::{SinkExt, StreamExt};
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::database::batch::{Batch, Reset};
-use crate::database::connection::{BrokenConnection, end_outside_transaction};
+use crate::database::connection::{Disconnected, end_outside_transaction};
 use crate::database::connection_request::{ConnectionRequest, Refusal};
 use crate::database::target::Target;
 use crate::fleet::Fleet;
@@ -126,10 +126,9 @@
     };
     let exchange = access.exchange(&mut checkout, &target, &call.batch, permission);
     match exchange.await {
-        Ok(_) if call.batch.needs_leader() && access.databases.is_fenced(&target.name) => (
-            CallReply::Broken(BrokenConnection::primary_replaced().reason),
-            None,
-        ),
+        Ok(_) if call.batch.needs_leader() && access.databases.is_fenced(&target.name) => {
+            (CallReply::Broken(Disconnected::new_primary().reason), None)
+        }
         Ok(answers) => {
             if end_outside_transaction(&answers) {
                 checkout.give_back();
@@ -162,7 +161,7 @@
     }
     let intent = match is_first {
         true => Intent::first(&ServingRegions::anywhere(), needs_leader),
-        false => Intent::further(needs_leader),
+        false => Intent::in_transaction(needs_leader),
     };
     access.databases.permission_to_send(target, &intent)
 }
@@ -194,7 +193,7 @@
     let request = ConnectionRequest {
         priority: call.priority,
         deadline: Instant::now() + Duration::from_millis(call.wait_limit_ms.into()),
-        queue_timeout: Patience {
+        queue_timeout: QueueTimeouts {
             burst: Duration::from_millis(call.burst_ms.into()),
             standing: Duration::from_millis(call.standing_ms.into()),
         },
--- a/crates/dyketally-gateway/src/fleet/homes.rs
+++ b/crates/dyketally-gateway/src/fleet/homes.rs
@@ -6,14 +6,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use dyketally::eligibility::{ServingRegions, may_pass};
+use dyketally::eligibility::{ServingRegions, may_pass_through};
 use dyketally::identifiers::{DatabaseName, NodeName, RegionName, TenantName};
 use dyketally::placement::{self, Sharing};
 
 use crate::database::shares::ConnectionShares;
 use crate::database::slow_start::cold_senders;
 use crate::fleet::Fleet;
-use crate::fleet::exclusions::Exclusions;
+use crate::fleet::passive_exclusions::Exclusions;
 use crate::ports::DatabaseUser;
 
 /// Connections to a database that all nodes together may open if the configuration sets no limit.
@@ -54,7 +54,7 @@
     /// pass through, in the order of preference.
     pub(super) fn ordered_cold_senders(&self, regions: &ServingRegions) -> Rc<[SocketAddr]> {
         let senders = self.cold_senders.iter();
-        let permitted = senders.filter(|node| may_pass(regions, &node.region));
+        let permitted = senders.filter(|node| may_pass_through(regions, &node.region));
         permitted.map(|node| node.address).collect()
     }
 
@@ -72,7 +72,7 @@
             _ => self.nodes().collect(),
         };
         let nodes = nodes.into_iter();
-        let permitted = nodes.filter(|node| may_pass(regions, &node.region));
+        let permitted = nodes.filter(|node| may_pass_through(regions, &node.region));
         permitted.map(|node| node.address).collect()
     }
 
--- a/crates/dyketally-gateway/src/fleet/link/call.rs
+++ b/crates/dyketally-gateway/src/fleet/link/call.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::database::batch::Batch;
-use crate::database::connection::{Answer, BrokenConnection};
+use crate::database::connection::{Answer, Disconnected};
 use crate::database::connection_request::{ConnectionUse, Refusal};
 use crate::ports::DatabaseUser;
 
@@ -52,7 +52,7 @@
     /// No step was run, for the reason given.
     NotRun(Refusal),
     /// The connection to the database broke; any step may have run.
-    DatabaseBroke(BrokenConnection),
+    DatabaseBroke(Disconnected),
     /// The home didn't reply, or stops while a transaction is open; any step may have run.
-    HomeLost(BrokenConnection),
+    HomeLost(Disconnected),
 }
--- a/crates/dyketally-gateway/src/fleet/link/home_call.rs
+++ b/crates/dyketally-gateway/src/fleet/link/home_call.rs
@@ -13,7 +13,7 @@
 use super::links::Link;
 use super::{Call, CallError, CallReply};
 use crate::database::batch::Batch;
-use crate::database::connection::{Answer, BrokenConnection, end_outside_transaction};
+use crate::database::connection::{Answer, Disconnected, end_outside_transaction};
 use crate::database::connection_request::{ConnectionRequest, Refusal};
 use crate::fleet::access::DatabaseAccess;
 use crate::measures::Stage;
@@ -109,7 +109,7 @@
                     self.exclude(home);
                 }
                 CallReply::Leaving => {
-                    return Err(CallError::HomeLost(BrokenConnection::new(
+                    return Err(CallError::HomeLost(Disconnected::new(
                         "the home is stopping",
                     )));
                 }
@@ -121,7 +121,7 @@
                 }
                 CallReply::Refused(refusal) => return Err(CallError::NotRun(refusal)),
                 CallReply::Broken(reason) => {
-                    return Err(CallError::DatabaseBroke(BrokenConnection::new(reason)));
+                    return Err(CallError::DatabaseBroke(Disconnected::new(reason)));
                 }
             }
         }
--- a/crates/dyketally-gateway/src/fleet/link/links.rs
+++ b/crates/dyketally-gateway/src/fleet/link/links.rs
@@ -14,7 +14,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 use super::{Call, CallReply};
-use crate::database::connection::{BrokenConnection, is_open_without_input};
+use crate::database::connection::{Disconnected, is_open_without_input};
 use crate::fleet::Fleet;
 use crate::fleet::opening::{self, Opening};
 
@@ -70,17 +70,17 @@
         &mut self,
         fleet: &Fleet,
         call: &Call<'_>,
-    ) -> Result<CallReply, BrokenConnection> {
-        let message = postcard::to_stdvec(call).map_err(BrokenConnection::new)?;
+    ) -> Result<CallReply, Disconnected> {
+        let message = postcard::to_stdvec(call).map_err(Disconnected::new)?;
         fleet.count_sent("call", self.home, message.len());
         self.frames
             .send(Bytes::from(message))
             .await
-            .map_err(BrokenConnection::new)?;
+            .map_err(Disconnected::new)?;
         match self.frames.next().await {
-            Some(Ok(reply)) => postcard::from_bytes(&reply).map_err(BrokenConnection::new),
-            Some(Err(error)) => Err(BrokenConnection::new(error)),
-            None => Err(BrokenConnection::new(
+            Some(Ok(reply)) => postcard::from_bytes(&reply).map_err(Disconnected::new),
+            Some(Err(error)) => Err(Disconnected::new(error)),
+            None => Err(Disconnected::new(
                 "the home closed the link without a reply",
             )),
         }
--- a/crates/dyketally-gateway/src/fleet/message.rs
+++ b/crates/dyketally-gateway/src/fleet/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use dyketally::failover::{Evidence, FenceId, StandingFence};
+use dyketally::failover::{ActiveFence, Evidence, FenceId};
 use dyketally::identifiers::{DatabaseName, GroupName, NodeName, TenantName, ZoneName};
 use dyketally::quota::{Decision, Role};
 use serde::{Deserialize, Serialize};
@@ -81,7 +81,7 @@
         /// The request that this message replies to.
         round: u64,
         /// The fences that are set at the sender.
-        fenced: Vec<StandingFence>,
+        fenced: Vec<ActiveFence>,
     },
     /// Requests the failover coordinator's grant of contact.
     ContactRequest {
@@ -99,7 +99,7 @@
         /// milliseconds.
         majority_ms: Option<u32>,
         /// The fences that are set at the sender.
-        fenced: Vec<StandingFence>,
+        fenced: Vec<ActiveFence>,
     },
     /// Requests a heartbeat. Unlike for [`PeerMessage::SignOfLifeRequest`], the reply doesn't count as
     /// contact of the requester with other nodes.
--- a/crates/dyketally-gateway/src/fleet/mod.rs
+++ b/crates/dyketally-gateway/src/fleet/mod.rs
@@ -12,7 +12,6 @@
 pub mod access;
 pub mod connection;
 pub mod coordinator;
-pub mod exclusions;
 pub mod forwarding;
 pub mod home;
 mod home_probe;
@@ -22,6 +21,7 @@
 pub mod membership;
 pub mod message;
 pub mod opening;
+pub mod passive_exclusions;
 pub mod peer;
 pub mod traffic;
 
--- a/crates/dyketally-gateway/src/fleet/exclusions.rs
+++ b/crates/dyketally-gateway/src/fleet/passive_exclusions.rs
@@ -1,4 +1,4 @@
-//! Nodes that are excluded from use for a while after they failed.
+//! Nodes that are excluded from use for a while after requests that they left unanswered.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/dyketally-gateway/src/fleet/peer/requests.rs
+++ b/crates/dyketally-gateway/src/fleet/peer/requests.rs
@@ -36,7 +36,7 @@
 
     /// Decides in `role` on a request for `wanted` operations of `tenant`; `None` when the tenant has no
     /// quota.
-    fn decide_permit(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision>;
+    fn account(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision>;
 }
 
 impl Peers {
@@ -142,7 +142,7 @@
                 wanted,
                 role,
             } => {
-                if let Some(decision) = requests.decide_permit(&tenant, wanted, role) {
+                if let Some(decision) = requests.account(&tenant, wanted, role) {
                     self.send(from, &PeerMessage::PermitReply { round, decision });
                 }
             }
--- a/crates/dyketally-gateway/src/node/peer_requests.rs
+++ b/crates/dyketally-gateway/src/node/peer_requests.rs
@@ -18,10 +18,7 @@
 #[async_trait(?Send)]
 impl PeerRequests for RequestHandler {
     fn primary_suspected(&self, group: GroupName, database: DatabaseName) {
-        self.0
-            .leadership
-            .suspicions
-            .record_suspicion(group, database);
+        self.0.leadership.suspicions.record(group, database);
     }
 
     async fn evidence(&self, group: &GroupName, database: &DatabaseName) -> Option<Evidence> {
@@ -42,7 +39,7 @@
         self.0.feed.relays_for(zone)
     }
 
-    fn decide_permit(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision> {
-        self.0.quotas.decide_permit(tenant, wanted, role)
+    fn account(&self, tenant: &TenantName, wanted: u32, role: Role) -> Option<Decision> {
+        self.0.quotas.account(tenant, wanted, role)
     }
 }
--- a/crates/dyketally-gateway/src/quota/mod.rs
+++ b/crates/dyketally-gateway/src/quota/mod.rs
@@ -162,7 +162,7 @@
 
     /// Decides in `role` on a request for `wanted` operations of `tenant`; `None` when the current
     /// configuration gives the tenant no quota.
-    pub fn decide_permit(
+    pub fn account(
         self: &Rc<Self>,
         tenant: &TenantName,
         wanted: u32,
--- a/crates/dyketally-gateway/src/quota/permit_requests.rs
+++ b/crates/dyketally-gateway/src/quota/permit_requests.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 
 use super::Quotas;
-use crate::fleet::exclusions::Exclusions;
 use crate::fleet::message::PeerMessage;
+use crate::fleet::passive_exclusions::Exclusions;
 use crate::fleet::peer::Peers;
 
 /// Maximum number of nodes that are asked for a permit: the accountant and its stand-ins. In a network
@@ -92,7 +92,7 @@
         for node in self.accountants(tenant) {
             let asked_as = std::mem::replace(&mut role, Role::StandIn);
             let Some(address) = node else {
-                return self.decide_permit(tenant, wanted, asked_as);
+                return self.account(tenant, wanted, asked_as);
             };
             // The next node is asked only once this one is excluded: two nodes that grant operations of one tenant to
             // the same nodes would grant twice as many.
--- a/crates/dyketally-gateway/src/statement/attempt.rs
+++ b/crates/dyketally-gateway/src/statement/attempt.rs
@@ -4,7 +4,7 @@
 
 use dyketally::statement::FailureKind;
 
-use crate::database::connection::{Answer, BrokenConnection};
+use crate::database::connection::{Answer, Disconnected};
 use crate::database::connection_request::ConnectionUse;
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
@@ -21,13 +21,13 @@
     /// The statement has not run.
     NotRun(FailureKind),
     /// The statement was sent, and its answer was lost or incomplete.
-    Lost(BrokenConnection),
+    Lost(Disconnected),
 }
 
 impl AttemptOutcome {
     /// The database ended the batch before it sent all answers.
     pub(super) fn without_all_answers() -> Self {
-        Self::Lost(BrokenConnection::new(
+        Self::Lost(Disconnected::new(
             "the database ended the batch before it sent all answers",
         ))
     }
--- a/crates/dyketally-gateway/src/statement/ending.rs
+++ b/crates/dyketally-gateway/src/statement/ending.rs
@@ -8,7 +8,7 @@
 use dyketally::identifiers::DatabaseName;
 use dyketally::statement::FailureKind;
 
-use crate::database::connection::BrokenConnection;
+use crate::database::connection::Disconnected;
 use crate::database::target::Target;
 use crate::decision::give_up::{self, GiveUpInputs, PrimaryState};
 use crate::decision::learn::Feedback;
@@ -34,7 +34,7 @@
     }
 
     /// The answer was lost, and the statement may have run.
-    pub(super) fn in_doubt(broken: &BrokenConnection) -> Self {
+    pub(super) fn in_doubt(broken: &Disconnected) -> Self {
         Self {
             response: Response::in_doubt(&broken.reason),
             reason: Reason::AnswerLost,
--- a/crates/dyketally-gateway/src/statement/read.rs
+++ b/crates/dyketally-gateway/src/statement/read.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::database::batch::{Batch, Step};
-use crate::database::connection::{Answer, BrokenConnection, end_outside_transaction};
+use crate::database::connection::{Answer, Disconnected, end_outside_transaction};
 use crate::database::connection_request::ConnectionUse;
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
@@ -129,7 +129,7 @@
             let last = request.deadline + LATE_ANSWER_LIMIT;
             match tokio::time::timeout_at(last, attempt).await {
                 Ok(attempt) => attempt,
-                Err(_) => AttemptOutcome::Lost(BrokenConnection::new(
+                Err(_) => AttemptOutcome::Lost(Disconnected::new(
                     "no answer arrived before the deadline or shortly after it",
                 )),
             }
@@ -223,13 +223,13 @@
                 dispatch.rejected();
                 AttemptOutcome::NotRun(kind)
             }
-            ReadAfterBegin::Inconclusive => AttemptOutcome::Lost(BrokenConnection::new(
-                "the database refused the read's BEGIN",
-            )),
+            ReadAfterBegin::Inconclusive => {
+                AttemptOutcome::Lost(Disconnected::new("the database refused the read's BEGIN"))
+            }
             ReadAfterBegin::AnswerIfLeading
                 if !self.leadership.checks.still_leads_since(target, sent).await =>
             {
-                AttemptOutcome::Lost(BrokenConnection::primary_replaced())
+                AttemptOutcome::Lost(Disconnected::new_primary())
             }
             ReadAfterBegin::AnswerIfLeading => {
                 self.cx.counters.reads_at_primaries.add();
--- a/crates/dyketally-gateway/src/statement/request.rs
+++ b/crates/dyketally-gateway/src/statement/request.rs
@@ -247,7 +247,7 @@
     ) -> Result<(Vec<Answer>, Dispatch), ExchangeError> {
         let intent = match stage {
             Stage::First => Intent::first(&self.regions, batch.needs_leader()),
-            Stage::Further => Intent::further(batch.needs_leader()),
+            Stage::Further => Intent::in_transaction(batch.needs_leader()),
         };
         // Permission is requested after all waits, since the zone may be evacuated during them.
         checkout.wait_for_turn(batch).await;
--- a/crates/dyketally-gateway/src/statement/transaction/commit.rs
+++ b/crates/dyketally-gateway/src/statement/transaction/commit.rs
@@ -6,7 +6,7 @@
 use dyketally::time::Timestamp;
 
 use super::{Transaction, TransactionAnswer};
-use crate::database::connection::{Answer, BrokenConnection};
+use crate::database::connection::{Answer, Disconnected};
 use crate::decision::Reason;
 use crate::decision::refuse::{self, CommitError, LostCommit};
 use crate::statement::Statements;
@@ -47,7 +47,7 @@
     ) -> TransactionAnswer {
         if self.wrote && answer.end.is_ok() && !self.is_upheld(statements, sent).await {
             self.bound = None;
-            let response = Response::in_doubt(&BrokenConnection::primary_replaced().reason);
+            let response = Response::in_doubt(&Disconnected::new_primary().reason);
             request.record_outcome(statements, &response, Reason::DatabaseReplaced);
             return TransactionAnswer::ended(response, Reason::DatabaseReplaced);
         }
--- a/crates/dyketally-gateway/src/statement/write.rs
+++ b/crates/dyketally-gateway/src/statement/write.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::database::batch::Batch;
-use crate::database::connection::BrokenConnection;
+use crate::database::connection::Disconnected;
 use crate::database::connection_request::ConnectionUse;
 use crate::database::target::Target;
 use crate::decision::choose::FreshnessCheck;
@@ -123,7 +123,7 @@
         }
         match &answer.end {
             Ok(_) if !self.leadership.checks.still_leads_since(target, sent).await => {
-                return AttemptOutcome::Lost(BrokenConnection::primary_replaced());
+                return AttemptOutcome::Lost(Disconnected::new_primary());
             }
             Ok(_) => self
                 .databases
--- a/crates/dyketally-gateway/src/store/feed/contact.rs
+++ b/crates/dyketally-gateway/src/store/feed/contact.rs
@@ -19,7 +19,7 @@
     pub(super) fn relay_contact(&self) -> RelayContact {
         let now = self.cx.now();
         let contact = self.cx.contact.borrow_mut();
-        let is_held = contact.is_long_held(now);
+        let is_held = contact.long_is_valid(now);
         RelayContact {
             store: contact.store_age(now).filter(|_| is_held),
             majority: contact.majority_age(now).filter(|_| is_held),
@@ -48,7 +48,7 @@
             self.cx
                 .contact
                 .borrow_mut()
-                .majority_replied(ping_sent - age);
+                .record_majority_reply(ping_sent - age);
         }
     }
 }
--- a/crates/dyketally-gateway/src/store/feed/upstream.rs
+++ b/crates/dyketally-gateway/src/store/feed/upstream.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-use crate::fleet::exclusions::Exclusions;
+use crate::fleet::passive_exclusions::Exclusions;
 
 /// How long a node that lost its relay searches for another before it reads the store itself: enough time to try
 /// three relays that don't reply.
--- a/crates/dyketally-gateway/src/succession/appointment.rs
+++ b/crates/dyketally-gateway/src/succession/appointment.rs
@@ -75,7 +75,7 @@
                 }
                 Appointment::Unknown => outcome = AppointmentOutcome::MayStillLead,
                 Appointment::Refused => {
-                    self.appointments.borrow_mut().refused(term.token);
+                    self.appointments.borrow_mut().record_refusal(term.token);
                     return outcome;
                 }
                 Appointment::Later => return outcome,
@@ -103,7 +103,7 @@
             _ => self.coordinator.renew_token(current.token).await?,
         };
         let mut appointments = self.appointments.borrow_mut();
-        appointments.appointing(group, successor, term.token);
+        appointments.record_appointment(group, successor, term.token);
         Some(term)
     }
 
--- a/crates/dyketally-gateway/src/succession/cause.rs
+++ b/crates/dyketally-gateway/src/succession/cause.rs
@@ -88,7 +88,7 @@
     fn is_fenced_without_successor(&self, group: &GroupName, primary: &Target) -> bool {
         let appointments = self.appointments.borrow();
         let replaced = appointments
-            .last(group)
+            .last_appointed(group)
             .is_some_and(|it| it != &primary.name);
         self.fleet.coordinator.term().is_some()
             && !replaced
@@ -160,7 +160,7 @@
     fn regions_to_move_to(&self, group: &GroupName, primary: &Target) -> Option<ServingRegions> {
         let regions = self.databases.preferred_regions(primary)?;
         let now = self.cx.now();
-        let may_begin = self.moves.borrow().may_begin(group, now);
+        let may_begin = self.moves.borrow().may_move(group, now);
         may_begin.then_some(regions)
     }
 
@@ -172,7 +172,7 @@
         cold_for >= COLD_TIME_FOR_HANDOVER
             && !self.cx.routes().binds_regions()
             && self.databases.has_warm_successor(group, &primary.name)
-            && self.moves.borrow().may_begin(group, self.cx.now())
+            && self.moves.borrow().may_move(group, self.cx.now())
     }
 
     /// Searches for a primary; [`Cause::NoPrimary`] if none is found within [`NO_PRIMARY_GRACE`].
--- a/crates/dyketally-gateway/src/succession/contact.rs
+++ b/crates/dyketally-gateway/src/succession/contact.rs
@@ -93,6 +93,6 @@
                 Ok(None) | Err(_) => return,
             }
         }
-        self.cx.contact.borrow_mut().majority_replied(asked);
+        self.cx.contact.borrow_mut().record_majority_reply(asked);
     }
 }
--- a/crates/dyketally-gateway/src/succession/failover.rs
+++ b/crates/dyketally-gateway/src/succession/failover.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dyketally::eligibility::Moves;
+use dyketally::eligibility::PrimaryMoves;
 use dyketally::failover::Appointments;
 use dyketally::identifiers::GroupName;
 use tokio::time::Instant;
@@ -45,7 +45,7 @@
     /// When a fence around the primary of each group last couldn't be closed.
     pub(super) unclosed_fences: RefCell<HashMap<GroupName, Instant>>,
     /// When the primary of each group may be moved again for preference alone.
-    pub(super) moves: RefCell<Moves>,
+    pub(super) moves: RefCell<PrimaryMoves>,
 }
 
 impl Failover {
--- a/crates/dyketally-gateway/src/succession/fence.rs
+++ b/crates/dyketally-gateway/src/succession/fence.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dyketally::failover::{FENCE_HOLDS, FenceId, FenceRound, FenceVerdict};
+use dyketally::failover::{FENCE_LIFETIME, FenceId, FenceRound, FenceVerdict};
 use dyketally::identifiers::{DatabaseName, GroupName};
 use dyketally::time::Timestamp;
 use dyketally_store::key_value::{KeyRange, Operation, TransactionRequest};
@@ -200,8 +200,8 @@
             .databases
             .set_fence_unless_answered(database, id, suspected)
         {
-            true => round.confirmed(cx.now()),
-            false => round.contested(),
+            true => round.record_confirmation(cx.now()),
+            false => round.record_contested(),
         }
         OpenRound {
             database: database.clone(),
@@ -219,18 +219,18 @@
     fn evaluate(&self, open: &mut OpenRound) -> FenceVerdict {
         let published = open.published.as_ref();
         if let Some(at) = published.and_then(|published| published.since.get()) {
-            open.round.published(at);
+            open.round.record_published(at);
         }
         let coordinator = &self.parts.fleet.coordinator;
         if coordinator.term().is_none() {
-            open.round.lease_broken();
+            open.round.record_lease_broken();
         }
         // The former coordinator's lease has lapsed, so it is isolated unless a node that confirmed has
         // lately sent it a sign of life.
         let lapsed = coordinator
             .former_address()
             .is_some_and(|former| open.pending.contains(&former) && !open.heard.contains(&former));
-        open.round.lapsed(usize::from(lapsed));
+        open.round.set_isolated(usize::from(lapsed));
         open.round.verdict(self.parts.cx.now())
     }
 
@@ -250,9 +250,9 @@
     fn receive(&self, open: &mut OpenRound, reply: FenceReply) {
         open.heard.extend(reply.recently_answered);
         match reply.contested {
-            true => open.round.contested(),
+            true => open.round.record_contested(),
             false if open.pending.remove(&reply.from) => {
-                open.round.confirmed(self.parts.cx.now());
+                open.round.record_confirmation(self.parts.cx.now());
             }
             false => {}
         }
@@ -276,7 +276,7 @@
                 fence.since.set(Some(parts.cx.now()));
             }
             // The key is deleted whether the fence was withdrawn or has expired.
-            let _ = tokio::time::timeout(FENCE_HOLDS, fence.withdrawn.notified()).await;
+            let _ = tokio::time::timeout(FENCE_LIFETIME, fence.withdrawn.notified()).await;
             let deletion = || Operation::Delete(KeyRange::key(key.clone()));
             // If all attempts fail, the key ends with the coordinator's lease.
             for _ in 0..MAX_DELETION_ATTEMPTS {
--- a/crates/dyketally-gateway/src/succession/grants.rs
+++ b/crates/dyketally-gateway/src/succession/grants.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dyketally::failover::{GRANT_INTERVAL, SHORT_HOLDS};
+use dyketally::failover::{GRANT_INTERVAL, SHORT_CONTACT_DURATION};
 use dyketally::time::Timestamp;
 use rand::seq::IteratorRandom;
 
@@ -49,7 +49,7 @@
         self.next_round += 1;
         self.requested.push_back((round, now));
         self.requested
-            .retain(|(_, requested)| now.saturating_since(*requested) < SHORT_HOLDS);
+            .retain(|(_, requested)| now.saturating_since(*requested) < SHORT_CONTACT_DURATION);
         round
     }
 
@@ -92,7 +92,7 @@
             false => contact.granted_age(now),
         };
         let majority = contact.majority_age(now);
-        let majority = majority.filter(|_| contact.is_long_held(now));
+        let majority = majority.filter(|_| contact.long_is_valid(now));
         PeerMessage::ContactReply {
             round,
             granted_ms: age_ms(granted),
@@ -108,13 +108,13 @@
         };
         let mut contact = self.cx.contact.borrow_mut();
         if let Some(age) = granted_ms {
-            contact.granted(requested - Duration::from_millis(age.into()));
+            contact.record_grant(requested - Duration::from_millis(age.into()));
         }
         // While this node is the coordinator, only its own rounds count as contact with a majority.
         if let Some(age) = majority_ms
             && self.fleet.coordinator.last_term().is_none()
         {
-            contact.majority_replied(requested - Duration::from_millis(age.into()));
+            contact.record_majority_reply(requested - Duration::from_millis(age.into()));
         }
     }
 
@@ -123,7 +123,7 @@
         loop {
             let now = self.cx.now();
             if self.fleet.coordinator.may_grant() {
-                self.cx.contact.borrow_mut().granted(now);
+                self.cx.contact.borrow_mut().record_grant(now);
             } else {
                 let round = self.pending.borrow_mut().record(now);
                 for target in self.targets() {
@@ -158,6 +158,6 @@
 
 /// The age of a grant in milliseconds, rounded up; `None` if the grant has ended.
 fn age_ms(age: Option<Duration>) -> Option<u32> {
-    let age = age.filter(|age| *age < SHORT_HOLDS)?;
+    let age = age.filter(|age| *age < SHORT_CONTACT_DURATION)?;
     u32::try_from(age.as_millis() + u128::from(age > Duration::ZERO)).ok()
 }
--- a/crates/dyketally-gateway/src/succession/handover.rs
+++ b/crates/dyketally-gateway/src/succession/handover.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dyketally::eligibility::ServingRegions;
-use dyketally::failover::{Candidate, Succession, choose_successor, keep_warm};
+use dyketally::failover::{Candidate, Succession, choose_successor, retain_warm};
 use dyketally::group::LogPosition;
 use dyketally::identifiers::{DatabaseName, GroupName};
 use tokio::time::Instant;
@@ -180,7 +180,7 @@
                 .filter(|candidate| candidate.ready)
                 .collect();
             if began.elapsed() < WARM_CATCH_UP_LIMIT {
-                keep_warm(&mut candidates);
+                retain_warm(&mut candidates);
             }
             let choice = choose_successor(&candidates, candidates.len(), 0);
             if let Succession::Promote(best) = choice {
--- a/crates/dyketally-gateway/src/succession/own_statements.rs
+++ b/crates/dyketally-gateway/src/succession/own_statements.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dyketally::admission::Patience;
+use dyketally::admission::QueueTimeouts;
 use dyketally::eligibility::{Permission, ServingRegions};
 use dyketally::statement::{DatabaseStatus, FailureKind};
 use tokio::time::Instant;
@@ -71,7 +71,7 @@
         let request = ConnectionRequest {
             priority: GATEWAY_PRIORITY,
             deadline,
-            queue_timeout: Patience {
+            queue_timeout: QueueTimeouts {
                 burst: OWN_QUEUE_TIMEOUT,
                 standing: OWN_QUEUE_TIMEOUT,
             },
--- a/crates/dyketally-gateway/src/succession/poll.rs
+++ b/crates/dyketally-gateway/src/succession/poll.rs
@@ -1,9 +1,9 @@
 //! Polls the nodes on a suspected primary, and decides by their votes whether it is lost. Owns nothing; the
-//! rule is [`judge`].
+//! rule is [`evaluate_poll`].
 
 use std::time::Duration;
 
-use dyketally::failover::{PollResult, Verdict, judge};
+use dyketally::failover::{PollResult, Verdict, evaluate_poll};
 use tokio::time::Instant;
 
 use super::failover::Failover;
@@ -40,8 +40,8 @@
                 () = tokio::time::sleep_until(until) => None,
             };
             count(&mut result, vote);
-            result.lease_runs = self.fleet.coordinator.term().is_some();
-            let verdict = judge(&result);
+            result.lease_is_valid = self.fleet.coordinator.term().is_some();
+            let verdict = evaluate_poll(&result);
             if verdict != Verdict::Undecided || result.complete {
                 self.log_poll(primary, &result, verdict);
                 return verdict;
--- a/crates/dyketally-gateway/src/succession/replacement.rs
+++ b/crates/dyketally-gateway/src/succession/replacement.rs
@@ -79,13 +79,13 @@
         regions: &ServingRegions,
     ) -> bool {
         let now = self.cx.now();
-        self.moves.borrow_mut().begun(group, now);
+        self.moves.borrow_mut().record_move(group, now);
         let handover = self
             .hand_over(group, old, regions, IfNotCaughtUp::ReappointOld)
             .await;
         if handover == Handover::Deferred {
             let now = self.cx.now();
-            self.moves.borrow_mut().put_off(group, now);
+            self.moves.borrow_mut().defer(group, now);
         }
         handover == Handover::Leads
     }
--- a/crates/dyketally-gateway/src/succession/suspicion.rs
+++ b/crates/dyketally-gateway/src/succession/suspicion.rs
@@ -136,7 +136,7 @@
     /// Reports to the coordinator that `target` doesn't answer; to all nodes while no coordinator is known.
     pub fn report(&self, target: &Target) {
         if self.fleet.coordinator.last_term().is_some() {
-            self.record_suspicion(target.group.clone(), target.name.clone());
+            self.record(target.group.clone(), target.name.clone());
             return;
         }
         let message = PeerMessage::Suspect {
@@ -154,7 +154,7 @@
     }
 
     /// Records that a node suspects a primary, for the coordinator to act on.
-    pub fn record_suspicion(&self, group: GroupName, database: DatabaseName) {
+    pub fn record(&self, group: GroupName, database: DatabaseName) {
         let mut suspicions = self.fleet.coordinator.suspicions.borrow_mut();
         suspicions
             .entry((group, database))
--- a/crates/dyketally-gateway/tests/feed_wire.rs
+++ b/crates/dyketally-gateway/tests/feed_wire.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use dyketally::delta::Delta;
-use dyketally::failover::{FenceId, StandingFence};
+use dyketally::failover::{ActiveFence, FenceId};
 use dyketally::identifiers::DatabaseName;
 use dyketally_gateway::fleet::link::frames;
 use dyketally_gateway::store::feed::Subject;
@@ -108,7 +108,7 @@
                 contact: RelayContact {
                     store: Some(Duration::from_millis(1_500)),
                     majority: Some(Duration::from_nanos(5)),
-                    fenced: vec![StandingFence {
+                    fenced: vec![ActiveFence {
                         database: DatabaseName::from("db"),
                         id: FenceId(130),
                         age: Duration::from_secs(2),
--- a/crates/dyketally-gateway/tests/wire/datagrams.rs
+++ b/crates/dyketally-gateway/tests/wire/datagrams.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dyketally::failover::{Evidence, FenceId, StandingFence};
+use dyketally::failover::{ActiveFence, Evidence, FenceId};
 use dyketally::identifiers::{DatabaseName, Locality, NodeName};
 use dyketally::placement::LinkClass;
 use dyketally::quota::{Decision, Role};
@@ -83,14 +83,14 @@
     }
 }
 
-fn fences() -> Vec<StandingFence> {
+fn fences() -> Vec<ActiveFence> {
     vec![
-        StandingFence {
+        ActiveFence {
             database: database(),
             id: FenceId(u64::MAX),
             age: Duration::from_millis(1_250),
         },
-        StandingFence {
+        ActiveFence {
             database: "ledger-2-a".into(),
             id: FenceId(3),
             age: Duration::ZERO,
--- a/crates/dyketally-proxy/src/edge/retry.rs
+++ b/crates/dyketally-proxy/src/edge/retry.rs
@@ -49,7 +49,7 @@
     type Sent = StatementRequest;
 
     async fn run(self, mut inner: Inner, request: StatementRequest) -> StatementReply {
-        lock(&self.retriers).tenant(&request.tenant).fresh();
+        lock(&self.retriers).tenant(&request.tenant).record_fresh();
         let mut attempts = 0;
         let mut in_doubt = None;
         loop {
--- a/crates/dyketally-proxy/src/home/conclude.rs
+++ b/crates/dyketally-proxy/src/home/conclude.rs
@@ -1,6 +1,6 @@
 //! How a request ended whose reply was read in full.
 
-use dyketally::group::{FinishedWrite, LogPosition, MemberStatus, Role, Term, Verdict};
+use dyketally::group::{ConfirmationResult, FinishedWrite, LogPosition, MemberStatus, Role, Term};
 use dyketally::outcome::{NotRunReason, UnknownReason};
 use dyketally::session::Freshness;
 use dyketally_protocol::{Completion, TransactionStatus};
@@ -19,7 +19,7 @@
         &self,
         pin: Pin,
         exchanged: Exchanged,
-        verdict: Option<oneshot::Receiver<Verdict>>,
+        verdict: Option<oneshot::Receiver<ConfirmationResult>>,
         output: &mut ReplyOutput,
     ) -> Completion {
         let Exchanged { end, status } = exchanged;
@@ -62,7 +62,7 @@
         &self,
         pin: Pin,
         end: BatchEnd,
-        verdict: oneshot::Receiver<Verdict>,
+        verdict: oneshot::Receiver<ConfirmationResult>,
         output: &mut ReplyOutput,
     ) -> Completion {
         let kept = match end.transaction {
@@ -73,7 +73,7 @@
             _ => Some(pin),
         };
         match verdict.await {
-            Ok(Verdict::Confirmed(seen)) => {
+            Ok(ConfirmationResult::Confirmed(seen)) => {
                 self.shared.counters.primary_reads.increment();
                 match kept.map(|pin| self.keep_pin(pin)) {
                     Some(Err(lost)) => lost,
@@ -83,12 +83,12 @@
             _ if output.was_passed_on() => Completion::Unknown {
                 reason: UnknownReason::NotConfirmed,
             },
-            Ok(Verdict::Deposed { .. }) => {
+            Ok(ConfirmationResult::Deposed { .. }) => {
                 output.discard();
                 self.redirect()
             }
             // No verdict comes from a monitor that has ended: the primary isn't confirmed either.
-            Ok(Verdict::NotConfirmed) | Err(_) => {
+            Ok(ConfirmationResult::NotConfirmed) | Err(_) => {
                 output.discard();
                 not_run(NotRunReason::NoPrimary)
             }
@@ -105,27 +105,27 @@
     async fn conclude_write(
         &self,
         leads_in: Option<Term>,
-        behind: Option<MemberStatus>,
+        status_after: Option<MemberStatus>,
         output: &mut ReplyOutput,
     ) -> Completion {
-        let verdict = match (leads_in, behind) {
-            (Some(sent_in), Some(behind)) => {
+        let verdict = match (leads_in, status_after) {
+            (Some(sent_in_term), Some(status_after)) => {
                 let write = FinishedWrite {
-                    sent_in,
-                    behind,
+                    sent_in_term,
+                    status_after,
                     mode: self.tenant.confirmation,
                     deadline: self.deadline,
                 };
                 self.shared.monitor.confirm_write(write).await
             }
-            _ => Verdict::NotConfirmed,
+            _ => ConfirmationResult::NotConfirmed,
         };
         match verdict {
-            Verdict::Confirmed(seen) => {
+            ConfirmationResult::Confirmed(seen) => {
                 self.shared.counters.writes_confirmed.increment();
                 done(Some(seen), TransactionStatus::Idle)
             }
-            Verdict::Deposed { .. } | Verdict::NotConfirmed => {
+            ConfirmationResult::Deposed { .. } | ConfirmationResult::NotConfirmed => {
                 self.shared.counters.writes_not_confirmed.increment();
                 self.shared.monitor.watch_closely();
                 output.discard();
--- a/crates/dyketally-proxy/src/home/dispatch.rs
+++ b/crates/dyketally-proxy/src/home/dispatch.rs
@@ -76,8 +76,8 @@
     /// Gives out no connection and opens none while the database is leaving.
     pub fn set_leaving(self: &Arc<Self>, leaving: bool) {
         self.change(|state, _| match leaving {
-            true => state.pool.leave(),
-            false => state.pool.readmit(),
+            true => state.pool.begin_drain(),
+            false => state.pool.end_drain(),
         });
     }
 
@@ -154,7 +154,9 @@
         self.change(|state, _| {
             let now = now();
             if submission.stage == Stage::Fresh {
-                state.pool.ask(now, &submission.tenant, submission.weight);
+                state
+                    .pool
+                    .record_demand(now, &submission.tenant, submission.weight);
             }
             let ticket = state.queue.enqueue(now, submission, &mut rand::rng());
             ticket.map_err(turned_away)
--- a/crates/dyketally-proxy/src/home/monitor.rs
+++ b/crates/dyketally-proxy/src/home/monitor.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use dyketally::group::{
-    Confirmations, FinishedWrite, GroupEvent, GroupView, MemberStatus, ProbePacing, RoundNumber,
-    Term, Verdict,
+    ConfirmationResult, Confirmations, FinishedWrite, GroupEvent, GroupView, MemberStatus,
+    ProbePacing, RoundNumber, Term,
 };
 use dyketally::identifiers::DatabaseName;
 use dyketally::time::Timestamp;
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 struct MonitorState {
     view: GroupView,
-    confirmations: Confirmations<oneshot::Sender<Verdict>>,
+    confirmations: Confirmations<oneshot::Sender<ConfirmationResult>>,
     probers: BTreeMap<DatabaseName, ProberHandle>,
     watched_closely_until: Timestamp,
     /// When the task that keeps the monitor wakes.
@@ -128,17 +128,21 @@
     }
 
     /// Confirms a write whose reply was read in full.
-    pub async fn confirm_write(&self, write: FinishedWrite) -> Verdict {
+    pub async fn confirm_write(&self, write: FinishedWrite) -> ConfirmationResult {
         let (sender, verdict) = oneshot::channel();
         self.change(|state| {
             state.confirmations.write_finished(sender, write);
             Vec::new()
         });
-        verdict.await.unwrap_or(Verdict::NotConfirmed)
+        verdict.await.unwrap_or(ConfirmationResult::NotConfirmed)
     }
 
     /// Begins to confirm that this member leads in `term`, for a read that arrived before.
-    pub fn confirm_read(&self, term: Term, deadline: Timestamp) -> oneshot::Receiver<Verdict> {
+    pub fn confirm_read(
+        &self,
+        term: Term,
+        deadline: Timestamp,
+    ) -> oneshot::Receiver<ConfirmationResult> {
         let (sender, verdict) = oneshot::channel();
         self.change(|state| {
             state.confirmations.read_arrived(sender, term, deadline);
@@ -178,14 +182,14 @@
         status: MemberStatus,
     ) {
         self.change(|state| {
-            state.confirmations.answered(round, member, status);
+            state.confirmations.record_answer(round, member, status);
             Vec::new()
         });
     }
 
     pub(super) fn round_failed(&self, round: RoundNumber, member: &DatabaseName) {
         self.change(|state| {
-            state.confirmations.failed(round, member);
+            state.confirmations.record_failure(round, member);
             Vec::new()
         });
     }
@@ -197,7 +201,7 @@
             if let Some(prober) = state.probers.get_mut(member) {
                 was_lost = std::mem::replace(&mut prober.lost, true);
             }
-            state.view.lost(member)
+            state.view.forget_status(member)
         });
         if !was_lost {
             log::warn!("the status connection to {member} is lost: {error}");
@@ -371,7 +375,7 @@
     /// Gives verdicts and begins a round; true when something falls due earlier than scheduled.
     fn advance(&mut self) -> bool {
         let now = now();
-        for resolved in self.confirmations.tick(now) {
+        for resolved in self.confirmations.take_resolved(now) {
             // A request that has gone needs no verdict.
             let _ = resolved.item.send(resolved.verdict);
         }
--- a/crates/dyketally-proxy/src/home/recorded.rs
+++ b/crates/dyketally-proxy/src/home/recorded.rs
@@ -1,6 +1,6 @@
 //! Runs a recorded batch: in a transaction with an entry of the ledger.
 
-use dyketally::group::{FinishedWrite, MemberStatus, Term, Verdict};
+use dyketally::group::{ConfirmationResult, FinishedWrite, MemberStatus, Term};
 use dyketally::outcome::{NotRunReason, UnknownReason};
 use dyketally::policy::{Access, Repeat};
 use dyketally_protocol::{Completion, TransactionStatus};
@@ -69,7 +69,7 @@
                 drop(pin);
                 drop(slot);
                 match self.confirm_recorded(leads_in, behind).await {
-                    Verdict::Confirmed(seen) => {
+                    ConfirmationResult::Confirmed(seen) => {
                         self.shared.counters.writes_confirmed.increment();
                         return done(Some(seen), TransactionStatus::Idle);
                     }
@@ -187,14 +187,14 @@
     async fn confirm_recorded(
         &self,
         leads_in: Option<Term>,
-        behind: Option<MemberStatus>,
-    ) -> Verdict {
-        let (Some(sent_in), Some(behind)) = (leads_in, behind) else {
-            return Verdict::NotConfirmed;
+        status_after: Option<MemberStatus>,
+    ) -> ConfirmationResult {
+        let (Some(sent_in_term), Some(status_after)) = (leads_in, status_after) else {
+            return ConfirmationResult::NotConfirmed;
         };
         let write = FinishedWrite {
-            sent_in,
-            behind,
+            sent_in_term,
+            status_after,
             mode: self.tenant.confirmation,
             deadline: now() + self.time_left() / 2,
         };
--- a/crates/dyketally-proxy/src/home/resolve.rs
+++ b/crates/dyketally-proxy/src/home/resolve.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dyketally::group::{FinishedWrite, LogPosition, Term, Verdict};
+use dyketally::group::{ConfirmationResult, FinishedWrite, LogPosition, Term};
 use dyketally::identifiers::DatabaseName;
 use dyketally::policy::Confirmation;
 use tokio_util::sync::CancellationToken;
@@ -122,8 +122,8 @@
         status: &StatusReply,
     ) -> Option<LogPosition> {
         let write = FinishedWrite {
-            sent_in: term,
-            behind: status.status()?,
+            sent_in_term: term,
+            status_after: status.status()?,
             mode: Confirmation::MajorityPosition,
             deadline: self.deadline,
         };
@@ -133,7 +133,7 @@
         monitor.set_members(self.shared.probe_targets(self.policy));
         tokio::spawn(stop.run_until_cancelled_owned(Arc::clone(&monitor).keep()));
         match monitor.confirm_write(write).await {
-            Verdict::Confirmed(seen) => Some(seen),
+            ConfirmationResult::Confirmed(seen) => Some(seen),
             _ => None,
         }
     }
--- a/crates/dyketally/src/admission/gate.rs
+++ b/crates/dyketally/src/admission/gate.rs
@@ -21,7 +21,7 @@
 
 /// Queue timeouts of a statement: how long it may wait before it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct QueueTimeouts {
     /// Timeout while the queue absorbs a burst, so that a statement that waits is likely to run.
     pub burst: Duration,
     /// Timeout while the queue is a standing queue: every statement would then wait until its timeout.
@@ -51,8 +51,8 @@
 
 impl Gate {
     /// Sets this node's share of a database with `slots` slots, to which `holders` nodes keep connections.
-    pub fn share_out(&mut self, slots: u32, holders: usize) {
-        self.limit.share_out(slots, holders);
+    pub fn set_share(&mut self, slots: u32, holders: usize) {
+        self.limit.set_share(slots, holders);
     }
 
     /// True when one more statement may be sent to the database.
@@ -61,12 +61,12 @@
     }
 
     /// Records that a statement is sent to the database.
-    pub fn begins(&mut self) {
+    pub fn record_begin(&mut self) {
         self.in_flight += 1;
     }
 
     /// Records that a statement ended, with or without an answer.
-    pub fn ended(&mut self, now: Timestamp) {
+    pub fn record_end(&mut self, now: Timestamp) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let waited = !self.waiting.is_empty();
         if let Some(former) = self.last_finished
@@ -78,14 +78,14 @@
     }
 
     /// Records that the database ran a statement and took `elapsed` to answer it.
-    pub fn ran(&mut self, elapsed: Duration) {
-        self.limit.ran();
+    pub fn record_answer(&mut self, elapsed: Duration) {
+        self.limit.record_answer();
         self.answer_time.record(elapsed);
     }
 
     /// Time after which a statement without an answer no longer counts as in flight: the answer is probably
     /// lost, and the slot at the database is free.
-    pub fn silence(&self) -> Duration {
+    pub fn answer_lost_after(&self) -> Duration {
         match self.answer_time.average() {
             None => DEFAULT_ANSWER_LOST_AFTER,
             Some(_) => self
@@ -96,18 +96,18 @@
     }
 
     /// Records that the database rejected a statement.
-    pub fn turned_away(&mut self, now: Timestamp) {
-        self.limit.turned_away(now);
+    pub fn record_rejection(&mut self, now: Timestamp) {
+        self.limit.record_rejection(now);
     }
 
     /// Records that a statement of `rank` begins to wait.
-    pub fn waits(&mut self, now: Timestamp, rank: Rank) {
+    pub fn record_waiting(&mut self, now: Timestamp, rank: Rank) {
         self.waited_since.get_or_insert(now);
         *self.waiting.entry(rank).or_default() += 1;
     }
 
     /// Records that a statement of `rank` no longer waits.
-    pub fn waits_no_more(&mut self, rank: Rank) {
+    pub fn record_left_queue(&mut self, rank: Rank) {
         if let Some(count) = self.waiting.get_mut(&rank) {
             *count -= 1;
             if *count == 0 {
@@ -120,7 +120,7 @@
     }
 
     /// How long a statement with the given `timeouts` may wait at `now`.
-    pub fn patience(&self, now: Timestamp, timeouts: Patience) -> Duration {
+    pub fn queue_timeout(&self, now: Timestamp, timeouts: QueueTimeouts) -> Duration {
         let is_standing = self
             .waited_since
             .is_some_and(|since| now.saturating_since(since) >= STANDING_AFTER);
--- a/crates/dyketally/src/admission/in_flight.rs
+++ b/crates/dyketally/src/admission/in_flight.rs
@@ -26,7 +26,7 @@
 }
 
 impl Default for InFlightLimit {
-    /// No limit until [`share_out`](InFlightLimit::share_out) is called.
+    /// No limit until [`set_share`](InFlightLimit::set_share) is called.
     fn default() -> Self {
         Self {
             ceiling: f64::MAX,
@@ -38,7 +38,7 @@
 
 impl InFlightLimit {
     /// Sets the ceiling for a database with `slots` slots, to which `holders` nodes keep connections.
-    pub fn share_out(&mut self, slots: u32, holders: usize) {
+    pub fn set_share(&mut self, slots: u32, holders: usize) {
         let share = f64::from(slots) * STATEMENTS_PER_SLOT / holders.max(1) as f64;
         self.ceiling = share.ceil().max(MIN_CEILING);
         self.limit = self.limit.min(self.ceiling);
@@ -53,12 +53,12 @@
     }
 
     /// Records that the database ran a statement.
-    pub fn ran(&mut self) {
+    pub fn record_answer(&mut self) {
         self.limit = (self.limit + 1.0 / self.limit.max(1.0)).min(self.ceiling);
     }
 
     /// Records that the database rejected a statement.
-    pub fn turned_away(&mut self, now: Timestamp) {
+    pub fn record_rejection(&mut self, now: Timestamp) {
         let is_recent = self
             .last_decrease
             .is_some_and(|at| now.saturating_since(at) < DECREASE_INTERVAL);
--- a/crates/dyketally/src/admission/schedule.rs
+++ b/crates/dyketally/src/admission/schedule.rs
@@ -16,7 +16,7 @@
 /// Greatest credit of slot time, at weight 1, with which a tenant begins to wait. The credit lets a small
 /// burst of statements from a tenant within its share go ahead of statements of tenants beyond their share.
 /// Idle time earns no more credit than this.
-pub const SAVED_SLOT_TIME: Duration = Duration::from_millis(50);
+pub const MAX_SLOT_TIME_CREDIT: Duration = Duration::from_millis(50);
 
 /// Slot time divided by weight. The waiting tenant with the least virtual time gets the next slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -77,7 +77,7 @@
     accounts: BTreeMap<TenantName, Account>,
     waiting: BTreeSet<OrderKey>,
     running: BTreeMap<Ticket, Running>,
-    /// Virtual time at which a tenant that begins to wait starts, less a credit of up to [`SAVED_SLOT_TIME`].
+    /// Virtual time at which a tenant that begins to wait starts, less a credit of up to [`MAX_SLOT_TIME_CREDIT`].
     /// Never decreases.
     baseline: VirtualTime,
     next_wait_number: u64,
@@ -108,7 +108,7 @@
                 virtual_time: VirtualTime::default(),
                 wait_number: None,
             });
-        let least = self.baseline.minus(SAVED_SLOT_TIME, 1);
+        let least = self.baseline.minus(MAX_SLOT_TIME_CREDIT, 1);
         account.virtual_time = account.virtual_time.max(least);
         account.wait_number = Some(self.next_wait_number);
         self.next_wait_number += 1;
--- a/crates/dyketally/src/eligibility/evacuations.rs
+++ b/crates/dyketally/src/eligibility/evacuations.rs
@@ -32,7 +32,7 @@
 
 impl Evacuations {
     /// Records a request to evacuate a zone. A request that is already known keeps its start.
-    pub fn requested(&mut self, now: Timestamp, zone: ZoneName) -> Option<EvacuationChange> {
+    pub fn record_request(&mut self, now: Timestamp, zone: ZoneName) -> Option<EvacuationChange> {
         if self.zones.contains_key(&zone) {
             return None;
         }
@@ -41,18 +41,18 @@
     }
 
     /// Records that the request to evacuate a zone was withdrawn.
-    pub fn taken_back(&mut self, zone: &ZoneName) -> Option<EvacuationChange> {
+    pub fn record_cancelled(&mut self, zone: &ZoneName) -> Option<EvacuationChange> {
         let removed = self.zones.remove(zone);
         removed.map(|_| EvacuationChange::Ended(zone.clone()))
     }
 
     /// Replaces the requests by the `active` ones; requests that are missing from it were withdrawn. The age of
     /// a request that is new to this node is unknown: the node may have just started, or been without contact.
-    pub fn replaced(&mut self, active: &BTreeSet<ZoneName>) -> Vec<EvacuationChange> {
+    pub fn replace_all(&mut self, active: &BTreeSet<ZoneName>) -> Vec<EvacuationChange> {
         let ended = self.zones.keys().filter(|zone| !active.contains(*zone));
         let ended: Vec<ZoneName> = ended.cloned().collect();
         let mut changes: Vec<EvacuationChange> = Vec::new();
-        changes.extend(ended.iter().filter_map(|zone| self.taken_back(zone)));
+        changes.extend(ended.iter().filter_map(|zone| self.record_cancelled(zone)));
         for zone in active {
             if !self.contains(zone) {
                 self.zones.insert(zone.clone(), Start::Unknown);
--- a/crates/dyketally/src/eligibility/mod.rs
+++ b/crates/dyketally/src/eligibility/mod.rs
@@ -1,7 +1,7 @@
 //! Eligibility: whether a statement may run at a database now, and whether its text may pass through a
 //! node.
 //!
-//! Every path that sends something to a database has to present a [`Permission`]. [`judge`] issues it for
+//! Every path that sends something to a database has to present a [`Permission`]. [`check_eligibility`] issues it for
 //! callers' statements, so a path that skips the check doesn't compile.
 
 mod evacuations;
@@ -14,8 +14,8 @@
 use crate::identifiers::{DatabaseName, RegionName};
 
 pub use evacuations::{EvacuationChange, Evacuations};
-pub use moves::Moves;
-pub use preference::{Demand, best_regions, preferred_region};
+pub use moves::PrimaryMoves;
+pub use preference::{Demand, acceptable_regions, preferred_region};
 pub use regions::ServingRegions;
 
 /// Fraction of [`EligibilityBounds::drain`] for which a leaving primary without a successor still gets new
@@ -37,7 +37,7 @@
     pub needs_leader: bool,
     /// True for a single statement or the first one of a transaction; false within a transaction that is open at
     /// the database.
-    pub begins: bool,
+    pub is_first: bool,
 }
 
 impl Intent {
@@ -46,24 +46,24 @@
         Self {
             regions: regions.clone(),
             needs_leader,
-            begins: true,
+            is_first: true,
         }
     }
 
     /// For a further statement of a transaction. Its region isn't checked again: the transaction keeps what the
     /// configuration allowed when it began.
-    pub fn further(needs_leader: bool) -> Self {
+    pub fn in_transaction(needs_leader: bool) -> Self {
         Self {
             regions: ServingRegions::anywhere(),
             needs_leader,
-            begins: false,
+            is_first: false,
         }
     }
 }
 
 /// The state of a database, as far as eligibility depends on it.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing<'a> {
+pub struct DatabaseCondition<'a> {
     /// Name of the database.
     pub database: &'a DatabaseName,
     /// The region that the database runs in.
@@ -172,42 +172,42 @@
 }
 
 /// Checks whether a statement with the requirements `intent` may be sent to the database described by
-/// `standing`, and issues the permission to send it.
+/// `condition`, and issues the permission to send it.
 ///
 /// # Errors
 /// The reason for which the statement may not run at the database.
-pub fn judge(
+pub fn check_eligibility(
     intent: &Intent,
-    standing: Standing<'_>,
+    condition: DatabaseCondition<'_>,
     bounds: EligibilityBounds,
 ) -> Result<Permission, Denial> {
-    if !intent.regions.allows(standing.region) {
+    if !intent.regions.allows(condition.region) {
         return Err(Denial::OutsideRegions);
     }
-    if intent.begins && intent.needs_leader && standing.fenced {
+    if intent.is_first && intent.needs_leader && condition.fenced {
         return Err(Denial::BeingReplaced);
     }
-    if let Some(evacuated) = standing.evacuated_for
+    if let Some(evacuated) = condition.evacuated_for
         && evacuated >= evacuation_grace(intent, bounds)
     {
-        return Err(match standing.has_successor {
+        return Err(match condition.has_successor {
             true => Denial::Evacuated,
             false => Denial::EvacuatedEverywhere,
         });
     }
-    if let Some(leaving) = standing.leaving_for
-        && intent.begins
+    if let Some(leaving) = condition.leaving_for
+        && intent.is_first
         && leaving >= drain_grace(intent, bounds)
     {
         return Err(Denial::Leaving);
     }
-    Ok(Permission::control(standing.database))
+    Ok(Permission::control(condition.database))
 }
 
 /// Time since the request to evacuate for which a database in the evacuated zone still gets statements with the
 /// requirements `intent`. Zero for new statements at replicas, since replicas in other zones can run reads.
 fn evacuation_grace(intent: &Intent, bounds: EligibilityBounds) -> Duration {
-    match (intent.begins, intent.needs_leader) {
+    match (intent.is_first, intent.needs_leader) {
         (true, false) => Duration::ZERO,
         (true, true) => bounds.evacuation.mul_f64(EVACUATED_PRIMARY_FRACTION),
         (false, _) => bounds.evacuation.mul_f64(EVACUATED_TRANSACTION_FRACTION),
@@ -225,6 +225,6 @@
 
 /// True when the text of a statement that is limited to `regions` may pass through a node in the region `node`.
 /// Not to be called for the node that the caller is connected to: that node may hold the text in any region.
-pub fn may_pass(regions: &ServingRegions, node: &RegionName) -> bool {
+pub fn may_pass_through(regions: &ServingRegions, node: &RegionName) -> bool {
     regions.allows(node)
 }
--- a/crates/dyketally/src/eligibility/moves.rs
+++ b/crates/dyketally/src/eligibility/moves.rs
@@ -14,24 +14,24 @@
 
 /// The time from which the primary of each group may be moved again.
 #[derive(Clone, Debug, Default)]
-pub struct Moves {
+pub struct PrimaryMoves {
     not_before: BTreeMap<GroupName, Timestamp>,
 }
 
-impl Moves {
+impl PrimaryMoves {
     /// True when the primary of `group` may be moved at `now`.
-    pub fn may_begin(&self, group: &GroupName, now: Timestamp) -> bool {
+    pub fn may_move(&self, group: &GroupName, now: Timestamp) -> bool {
         let not_before = self.not_before.get(group);
         not_before.is_none_or(|not_before| now >= *not_before)
     }
 
     /// Records that a move of the primary of `group` begins, whether or not it succeeds.
-    pub fn begun(&mut self, group: &GroupName, now: Timestamp) {
+    pub fn record_move(&mut self, group: &GroupName, now: Timestamp) {
         self.not_before.insert(group.clone(), now + MOVE_PAUSE);
     }
 
     /// Records that the move of the primary of `group` was deferred because no database could take over yet.
-    pub fn put_off(&mut self, group: &GroupName, now: Timestamp) {
+    pub fn defer(&mut self, group: &GroupName, now: Timestamp) {
         self.not_before.insert(group.clone(), now + DEFERRED_PAUSE);
     }
 }
--- a/crates/dyketally/src/eligibility/preference.rs
+++ b/crates/dyketally/src/eligibility/preference.rs
@@ -38,7 +38,7 @@
 
 /// The regions among `candidates` from which a primary would not be moved again: those with the greatest served
 /// demand, and those within a factor of [`MIN_MOVE_GAIN`] of it.
-pub fn best_regions(demands: &[Demand], candidates: &[RegionName]) -> Vec<RegionName> {
+pub fn acceptable_regions(demands: &[Demand], candidates: &[RegionName]) -> Vec<RegionName> {
     let most = candidates
         .iter()
         .map(|region| served_weight(demands, region));
--- a/crates/dyketally/src/failover/appointments.rs
+++ b/crates/dyketally/src/failover/appointments.rs
@@ -45,17 +45,17 @@
     }
 
     /// The database that was last appointed in `group`.
-    pub fn last(&self, group: &GroupName) -> Option<&DatabaseName> {
+    pub fn last_appointed(&self, group: &GroupName) -> Option<&DatabaseName> {
         self.last.get(group).map(|(_, appointed)| appointed)
     }
 
     /// Records that the service refused `token`: another coordinator may hold a greater one.
-    pub fn refused(&mut self, token: u64) {
+    pub fn record_refusal(&mut self, token: u64) {
         self.refused = self.refused.max(Some(token));
     }
 
     /// Records that an appointment of `database` with `token` is about to be sent.
-    pub fn appointing(&mut self, group: &GroupName, database: &DatabaseName, token: u64) {
+    pub fn record_appointment(&mut self, group: &GroupName, database: &DatabaseName, token: u64) {
         self.last.insert(group.clone(), (token, database.clone()));
     }
 }
--- a/crates/dyketally/src/failover/contact.rs
+++ b/crates/dyketally/src/failover/contact.rs
@@ -16,12 +16,12 @@
 use crate::time::Timestamp;
 
 /// How long a node has the long contact after a request that the store replied to.
-pub const STORE_HOLDS: Duration = Duration::from_millis(2_900);
+pub const STORE_CONTACT_DURATION: Duration = Duration::from_millis(2_900);
 /// How long a node has the long contact after a request that more than half of the nodes replied to.
 pub const MAJORITY_CONTACT_DURATION: Duration = Duration::from_millis(900);
 /// How long a node has the short contact after a request that was granted. That is four or five rounds of
 /// [`GRANT_INTERVAL`]; three of them may be lost between zones that are 40 ms apart there and back.
-pub const SHORT_HOLDS: Duration = Duration::from_millis(500);
+pub const SHORT_CONTACT_DURATION: Duration = Duration::from_millis(500);
 /// Interval at which a node requests the short contact.
 pub const GRANT_INTERVAL: Duration = Duration::from_millis(100);
 /// Age of the last granted request from which a node requests the short contact from further nodes, not only
@@ -48,7 +48,7 @@
     majority: Option<Timestamp>,
     /// The last request for the short contact that the coordinator granted.
     granted: Option<Timestamp>,
-    /// The first request that the store replied to after a gap of [`STORE_HOLDS`] or more.
+    /// The first request that the store replied to after a gap of [`STORE_CONTACT_DURATION`] or more.
     store_regained: Option<Timestamp>,
     /// The first request that was replied to after the node had been isolated.
     regained: Option<Timestamp>,
@@ -56,40 +56,40 @@
 
 impl Contact {
     /// Records that the store replied to a request sent at `sent_at`.
-    pub fn store_replied(&mut self, sent_at: Timestamp) {
+    pub fn record_store_reply(&mut self, sent_at: Timestamp) {
         self.note_reply(sent_at);
-        let lapsed = |at| sent_at.saturating_since(at) >= STORE_HOLDS;
+        let lapsed = |at| sent_at.saturating_since(at) >= STORE_CONTACT_DURATION;
         if self.store.is_some_and(lapsed) {
             self.store_regained = Some(sent_at);
         }
         self.store = self.store.max(Some(sent_at));
     }
 
-    /// The time as of which the node knows the contents of the store; `None` when that is [`STORE_HOLDS`] ago or
+    /// The time as of which the node knows the contents of the store; `None` when that is [`STORE_CONTACT_DURATION`] ago or
     /// longer, or while the node is still receiving what it missed during a gap.
-    pub fn heard_store(&self, now: Timestamp) -> Option<Timestamp> {
+    pub fn store_known_as_of(&self, now: Timestamp) -> Option<Timestamp> {
         let within =
             |at: Option<Timestamp>, time| at.is_some_and(|at| now.saturating_since(at) < time);
         let is_in_contact =
-            within(self.store, STORE_HOLDS) && !within(self.store_regained, CATCH_UP);
+            within(self.store, STORE_CONTACT_DURATION) && !within(self.store_regained, CATCH_UP);
         self.store.filter(|_| is_in_contact)
     }
 
     /// Records that the node has released its leases: earlier replies of the store no longer count as contact.
-    pub fn store_given_up(&mut self) {
+    pub fn discard_store_contact(&mut self) {
         if self.store.is_some() {
             self.store = Some(Timestamp::ZERO);
         }
     }
 
     /// Records that more than half of the nodes replied to a poll sent at `sent_at`.
-    pub fn majority_replied(&mut self, sent_at: Timestamp) {
+    pub fn record_majority_reply(&mut self, sent_at: Timestamp) {
         self.note_reply(sent_at);
         self.majority = self.majority.max(Some(sent_at));
     }
 
     /// Records that the coordinator granted a request for the short contact sent at `sent_at`.
-    pub fn granted(&mut self, sent_at: Timestamp) {
+    pub fn record_grant(&mut self, sent_at: Timestamp) {
         self.granted = self.granted.max(Some(sent_at));
     }
 
@@ -107,12 +107,13 @@
         let within = |contact: Option<Timestamp>, holds| {
             contact.is_some_and(|at| now.saturating_since(at) < holds)
         };
-        within(self.store, STORE_HOLDS) || within(self.majority, MAJORITY_CONTACT_DURATION)
+        within(self.store, STORE_CONTACT_DURATION)
+            || within(self.majority, MAJORITY_CONTACT_DURATION)
     }
 
     fn has_short_contact(&self, now: Timestamp) -> bool {
         let short = self.granted.max(self.majority);
-        short.is_some_and(|sent_at| now.saturating_since(sent_at) < SHORT_HOLDS)
+        short.is_some_and(|sent_at| now.saturating_since(sent_at) < SHORT_CONTACT_DURATION)
     }
 
     fn is_catching_up(&self, now: Timestamp) -> bool {
@@ -122,12 +123,12 @@
 
     /// True when the node would know of a primary that is being replaced: it has both the long and the short
     /// contact. False before the first reply, since what the node knows may be out of date.
-    pub fn is_held(&self, now: Timestamp) -> bool {
-        self.is_long_held(now) && self.has_short_contact(now)
+    pub fn is_in_contact(&self, now: Timestamp) -> bool {
+        self.long_is_valid(now) && self.has_short_contact(now)
     }
 
     /// True while the node has the long contact and has received the announcements that it missed.
-    pub fn is_long_held(&self, now: Timestamp) -> bool {
+    pub fn long_is_valid(&self, now: Timestamp) -> bool {
         self.holds(now) && !self.is_catching_up(now)
     }
 
@@ -172,4 +173,4 @@
 }
 
 const _: () = assert!(GRANT_INTERVAL.as_millis() < GRANT_LATE_AFTER.as_millis());
-const _: () = assert!(GRANT_LATE_AFTER.as_millis() < SHORT_HOLDS.as_millis());
+const _: () = assert!(GRANT_LATE_AFTER.as_millis() < SHORT_CONTACT_DURATION.as_millis());
--- a/crates/dyketally/src/failover/fence.rs
+++ b/crates/dyketally/src/failover/fence.rs
@@ -11,22 +11,22 @@
 
 use std::time::Duration;
 
-use super::contact::{SHORT_HOLDS, STORE_HOLDS};
+use super::contact::{SHORT_CONTACT_DURATION, STORE_CONTACT_DURATION};
 use crate::time::Timestamp;
 
 /// Margin for clocks that run at different rates and for messages in transit.
 const MARGIN: Duration = Duration::from_millis(300);
 /// Once the store has held a fence for this long, a node that missed it has no contact with the store.
-const STORE_ISOLATES: Duration = STORE_HOLDS.saturating_add(MARGIN);
+const STORE_ISOLATES: Duration = STORE_CONTACT_DURATION.saturating_add(MARGIN);
 /// Margin for clocks that run at different rates during a short contact: 30% of its duration.
 const SHORT_MARGIN: Duration = Duration::from_millis(150);
 /// Once the coordinator's own fence has been in force for this long, and half of the nodes have confirmed it
 /// for this long, a node that missed the fence has no short contact.
-const SHORT_ISOLATES: Duration = SHORT_HOLDS.saturating_add(SHORT_MARGIN);
+const SHORT_ISOLATES: Duration = SHORT_CONTACT_DURATION.saturating_add(SHORT_MARGIN);
 /// Time for which a new coordinator grants no short contact. A fence of the former coordinator may have closed
 /// because short contacts had expired. A node that missed this fence may receive it from no other node, so it
 /// must not regain the short contact before its long contact has expired, too.
-pub const GRANTS_SETTLE: Duration = STORE_ISOLATES;
+pub const NEW_COORDINATOR_GRANT_DELAY: Duration = STORE_ISOLATES;
 /// Time after which the round fails while fewer than half of the nodes have confirmed or the store doesn't hold
 /// the fence. Until then the remaining nodes are asked to confirm.
 const GIVE_UP: Duration = Duration::from_secs(4);
@@ -83,7 +83,7 @@
     }
 
     /// Records that one more node has confirmed that it no longer uses the primary.
-    pub fn confirmed(&mut self, now: Timestamp) {
+    pub fn record_confirmation(&mut self, now: Timestamp) {
         self.confirmed += 1;
         if self.confirmed * 2 >= self.nodes {
             self.quorum.get_or_insert(now);
@@ -93,24 +93,24 @@
     /// Records how many of the nodes that have not confirmed are isolated already. A node is isolated when its
     /// lease has expired, since only renewals of the lease give it contact with the store, and when no node
     /// that confirmed has recently answered it.
-    pub fn lapsed(&mut self, nodes: usize) {
+    pub fn set_isolated(&mut self, nodes: usize) {
         self.lapsed = nodes;
     }
 
     /// Records that the coordinator's lease may have ended: the round can then close only when all nodes
     /// confirm.
-    pub fn lease_broken(&mut self) {
+    pub fn record_lease_broken(&mut self) {
         self.lease_broken = true;
         self.published = None;
     }
 
     /// Records that the primary has answered some node since it was suspected.
-    pub fn contested(&mut self) {
+    pub fn record_contested(&mut self) {
         self.contested = true;
     }
 
     /// Records that the store holds the fence, from where nodes in contact with the store read it.
-    pub fn published(&mut self, now: Timestamp) {
+    pub fn record_published(&mut self, now: Timestamp) {
         if !self.lease_broken {
             self.published.get_or_insert(now);
         }
--- a/crates/dyketally/src/failover/fences.rs
+++ b/crates/dyketally/src/failover/fences.rs
@@ -9,7 +9,7 @@
 use crate::time::Timestamp;
 
 /// Time after which a fence that is never cleared expires.
-pub const FENCE_HOLDS: Duration = Duration::from_secs(8);
+pub const FENCE_LIFETIME: Duration = Duration::from_secs(8);
 
 /// Identifies one round of fences around a database. The number is chosen at random when the round begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
 
 /// A fence as one node sends it to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StandingFence {
+pub struct ActiveFence {
     /// The fenced database.
     pub database: DatabaseName,
     /// The round that set the fence.
@@ -46,8 +46,8 @@
 
 impl Fences {
     /// Sets a fence at `now`; false when its round was cleared before it reached this node.
-    pub fn put_up(&mut self, now: Timestamp, database: DatabaseName, id: FenceId) -> bool {
-        let is_recent = |at: &Timestamp| now.saturating_since(*at) < FENCE_HOLDS;
+    pub fn set(&mut self, now: Timestamp, database: DatabaseName, id: FenceId) -> bool {
+        let is_recent = |at: &Timestamp| now.saturating_since(*at) < FENCE_LIFETIME;
         self.active.retain(|_, (_, began)| is_recent(began));
         self.cleared.retain(|_, cleared| is_recent(cleared));
         self.cleared_rounds.retain(|_, cleared| is_recent(cleared));
@@ -59,7 +59,7 @@
     }
 
     /// Adopts a fence received from another node, unless it was cleared here or a fence as recent is known.
-    pub fn heard(&mut self, now: Timestamp, fence: StandingFence) {
+    pub fn merge(&mut self, now: Timestamp, fence: ActiveFence) {
         let began = now - fence.age;
         let cleared = self.cleared.get(&fence.database);
         let is_old = cleared.is_some_and(|cleared| *cleared >= began);
@@ -74,7 +74,7 @@
     }
 
     /// Clears the fence around a database because the database leads.
-    pub fn lift(&mut self, now: Timestamp, database: &DatabaseName) {
+    pub fn clear(&mut self, now: Timestamp, database: &DatabaseName) {
         if let Some((id, _)) = self.active.remove(database) {
             self.cleared_rounds.insert(id, now);
             self.regained_lead.insert(database.clone(), now);
@@ -84,7 +84,7 @@
 
     /// Clears the fence of one round because that round replaces no database. A fence of a later round around
     /// the database stays. Late and repeated calls are harmless.
-    pub fn lift_round(&mut self, now: Timestamp, database: &DatabaseName, id: FenceId) {
+    pub fn clear_round(&mut self, now: Timestamp, database: &DatabaseName, id: FenceId) {
         if self
             .active
             .get(database)
@@ -98,7 +98,7 @@
     /// True when a fenced database has regained the lead at or after `sent`. An answer to a request sent then
     /// may stem from the database's earlier lead, and the last entries of that lead may be missing from its
     /// current log.
-    pub fn led_anew_since(&self, sent: Timestamp, database: &DatabaseName) -> bool {
+    pub fn regained_lead_since(&self, sent: Timestamp, database: &DatabaseName) -> bool {
         self.regained_lead
             .get(database)
             .is_some_and(|at| *at >= sent)
@@ -107,26 +107,26 @@
     /// The round of the fence around a database, if one is in force.
     pub fn round(&self, now: Timestamp, database: &DatabaseName) -> Option<FenceId> {
         let fence = self.active.get(database);
-        let fence = fence.filter(|_| self.holds(now, database));
+        let fence = fence.filter(|_| self.is_fenced(now, database));
         fence.map(|(id, _)| *id)
     }
 
     /// True while a fence is in force around the database: it must not be treated as a leader.
-    pub fn holds(&self, now: Timestamp, database: &DatabaseName) -> bool {
+    pub fn is_fenced(&self, now: Timestamp, database: &DatabaseName) -> bool {
         let fence = self.active.get(database);
-        fence.is_some_and(|(_, began)| now.saturating_since(*began) < FENCE_HOLDS)
+        fence.is_some_and(|(_, began)| now.saturating_since(*began) < FENCE_LIFETIME)
     }
 
     /// The fences in force.
-    pub fn standing(&self, now: Timestamp) -> Vec<StandingFence> {
+    pub fn active(&self, now: Timestamp) -> Vec<ActiveFence> {
         let fences = self.active.iter().map(|(database, (id, began))| {
             let age = now.saturating_since(*began);
-            StandingFence {
+            ActiveFence {
                 database: database.clone(),
                 id: *id,
                 age,
             }
         });
-        fences.filter(|fence| fence.age < FENCE_HOLDS).collect()
+        fences.filter(|fence| fence.age < FENCE_LIFETIME).collect()
     }
 }
--- a/crates/dyketally/src/failover/successor.rs
+++ b/crates/dyketally/src/failover/successor.rs
@@ -82,7 +82,7 @@
 
 /// Removes the cold candidates if there is at least one warm one. For use where the successor's log is
 /// waited for: there any candidate is suitable.
-pub fn keep_warm(candidates: &mut Vec<Candidate>) {
+pub fn retain_warm(candidates: &mut Vec<Candidate>) {
     if candidates.iter().any(|candidate| !candidate.cold) {
         candidates.retain(|candidate| !candidate.cold);
     }
--- a/crates/dyketally/src/failover/verdict.rs
+++ b/crates/dyketally/src/failover/verdict.rs
@@ -21,7 +21,7 @@
     /// Number of nodes with evidence that have lost contact with the store.
     pub store_lost: usize,
     /// True when the polling node's lease on the coordinator's duty is certain to be valid.
-    pub lease_runs: bool,
+    pub lease_is_valid: bool,
     /// True when the poll waits for no further replies.
     pub complete: bool,
     /// True when the primary has been suspected for so long that nodes which don't reply are treated as dead.
@@ -48,7 +48,7 @@
 /// it, so that a node which is cut off with few others never starts a failover; once the suspicion is
 /// prolonged, two nodes are enough. Without a valid lease, the polling node may act only while a majority
 /// of the nodes has lost the store: no other node can then have taken the coordinator's duty.
-pub fn judge(poll: &PollResult) -> Verdict {
+pub fn evaluate_poll(poll: &PollResult) -> Verdict {
     if poll.evidence.contains(&Evidence::Answered) {
         return Verdict::Alive;
     }
@@ -57,7 +57,7 @@
         true => majority.min(PROLONGED_QUORUM),
         false => majority,
     };
-    let may_act = poll.lease_runs || poll.store_lost * 2 > poll.nodes;
+    let may_act = poll.lease_is_valid || poll.store_lost * 2 > poll.nodes;
     if !may_act {
         return Verdict::Undecided;
     }
--- a/crates/dyketally/src/group/confirmation/item.rs
+++ b/crates/dyketally/src/group/confirmation/item.rs
@@ -1,6 +1,6 @@
 //! A write or read that waits to be confirmed, and the answers that support or oppose it.
 
-use super::{RoundNumber, Verdict};
+use super::{ConfirmationResult, RoundNumber};
 use crate::group::{LogPosition, MemberStatus, Role, Term};
 use crate::identifiers::DatabaseName;
 use crate::time::Timestamp;
@@ -31,16 +31,16 @@
 
 impl<Item> Waiting<Item> {
     /// The result for the item in a group of `members`; `None` while it is open.
-    pub(super) fn verdict(&self, members: usize) -> Option<Verdict> {
+    pub(super) fn verdict(&self, members: usize) -> Option<ConfirmationResult> {
         let majority = members / 2 + 1;
         if let Some(seen) = self.seen
             && self.supporters.len() >= majority
         {
-            return Some(Verdict::Confirmed(seen));
+            return Some(ConfirmationResult::Confirmed(seen));
         }
         let majority_impossible = self.opponents.len() + majority > members;
         let higher_term = self.higher_term;
-        (self.deposed || majority_impossible).then_some(Verdict::Deposed { higher_term })
+        (self.deposed || majority_impossible).then_some(ConfirmationResult::Deposed { higher_term })
     }
 
     /// True when an answer of `member` has been counted.
--- a/crates/dyketally/src/group/confirmation/mod.rs
+++ b/crates/dyketally/src/group/confirmation/mod.rs
@@ -29,8 +29,8 @@
 
 /// A round to run: request the status of each of `members` now.
 ///
-/// Each of these probes has to be followed by exactly one call of [`Confirmations::answered`] or
-/// [`Confirmations::failed`].
+/// Each of these probes has to be followed by exactly one call of [`Confirmations::record_answer`] or
+/// [`Confirmations::record_failure`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Round {
     /// The round's number.
@@ -66,18 +66,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedWrite {
     /// The term in which the primary was known to lead before the write was sent.
-    pub sent_in: Term,
+    pub sent_in_term: Term,
     /// The primary's status, requested after the write on the write's own connection.
-    pub behind: MemberStatus,
+    pub status_after: MemberStatus,
     /// What a majority has to confirm.
     pub mode: Confirmation,
-    /// When the write ends as [`Verdict::NotConfirmed`].
+    /// When the write ends as [`ConfirmationResult::NotConfirmed`].
     pub deadline: Timestamp,
 }
 
 /// The result of confirming an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ConfirmationResult {
     /// The item is confirmed; the session has now seen this log position.
     Confirmed(LogPosition),
     /// The primary was replaced: another member was elected, in `higher_term` if that is above the item's term.
@@ -95,7 +95,7 @@
     /// The home node's handle of the write or read.
     pub item: Item,
     /// The result of confirming the item.
-    pub verdict: Verdict,
+    pub verdict: ConfirmationResult,
 }
 
 /// Confirms the writes and reads of one member that claims to be the primary.
@@ -152,22 +152,24 @@
     /// that was deposed and elected again in between may have truncated the write from its log.
     pub fn write_finished(&mut self, item: Item, write: FinishedWrite) {
         let FinishedWrite {
-            sent_in, behind, ..
+            sent_in_term,
+            status_after,
+            ..
         } = write;
-        if behind.role != Role::Primary || behind.term != sent_in {
-            let verdict = Verdict::Deposed {
-                higher_term: behind.term,
+        if status_after.role != Role::Primary || status_after.term != sent_in_term {
+            let verdict = ConfirmationResult::Deposed {
+                higher_term: status_after.term,
             };
             self.resolved.push(Resolved { item, verdict });
             return;
         }
         let offset = match write.mode {
-            Confirmation::MajorityPosition => Some(behind.log.offset),
+            Confirmation::MajorityPosition => Some(status_after.log.offset),
             Confirmation::MajorityTerm => None,
         };
-        let mut waiting = self.new_item(item, sent_in, write.deadline);
+        let mut waiting = self.new_item(item, sent_in_term, write.deadline);
         waiting.offset = offset;
-        waiting.seen = Some(behind.log);
+        waiting.seen = Some(status_after.log);
         waiting.supporters.push(self.primary.clone());
         self.waiting.push(waiting);
         self.move_resolved();
@@ -215,7 +217,12 @@
     }
 
     /// Records the status that `member` reported to its probe of `round`.
-    pub fn answered(&mut self, round: RoundNumber, member: &DatabaseName, status: MemberStatus) {
+    pub fn record_answer(
+        &mut self,
+        round: RoundNumber,
+        member: &DatabaseName,
+        status: MemberStatus,
+    ) {
         if !self.close_probe(round, member) {
             return;
         }
@@ -229,22 +236,22 @@
     }
 
     /// Records that the probe of `member` in `round` got no answer.
-    pub fn failed(&mut self, round: RoundNumber, member: &DatabaseName) {
+    pub fn record_failure(&mut self, round: RoundNumber, member: &DatabaseName) {
         self.close_probe(round, member);
     }
 
     /// Returns the items that have been resolved since the last call, overdue ones included.
-    pub fn tick(&mut self, now: Timestamp) -> Vec<Resolved<Item>> {
+    pub fn take_resolved(&mut self, now: Timestamp) -> Vec<Resolved<Item>> {
         let overdue = self.waiting.extract_if(.., |item| item.deadline <= now);
         let overdue = overdue.map(|waiting| Resolved {
             item: waiting.item,
-            verdict: Verdict::NotConfirmed,
+            verdict: ConfirmationResult::NotConfirmed,
         });
         self.resolved.extend(overdue);
         std::mem::take(&mut self.resolved)
     }
 
-    /// When [`Self::tick`] or [`Self::start_round`] next has something to do without other input.
+    /// When [`Self::take_resolved`] or [`Self::start_round`] next has something to do without other input.
     pub fn next_wakeup(&self, now: Timestamp) -> Option<Timestamp> {
         if !self.resolved.is_empty() {
             return Some(now);
--- a/crates/dyketally/src/group/mod.rs
+++ b/crates/dyketally/src/group/mod.rs
@@ -7,7 +7,7 @@
 mod view;
 
 pub use confirmation::{
-    Confirmations, FinishedWrite, ProbePacing, Resolved, Round, RoundNumber, Verdict,
+    ConfirmationResult, Confirmations, FinishedWrite, ProbePacing, Resolved, Round, RoundNumber,
 };
 pub use view::{GroupEvent, GroupView, SeenStatus};
 
--- a/crates/dyketally/src/group/view.rs
+++ b/crates/dyketally/src/group/view.rs
@@ -97,7 +97,7 @@
     }
 
     /// Forgets the status of `member`: its connection broke, so it may have been restarted.
-    pub fn lost(&mut self, member: &DatabaseName) -> Vec<GroupEvent> {
+    pub fn forget_status(&mut self, member: &DatabaseName) -> Vec<GroupEvent> {
         let before = self.primary();
         if let Some(held) = self.members.get_mut(member) {
             *held = None;
--- a/crates/dyketally/src/pool/connections.rs
+++ b/crates/dyketally/src/pool/connections.rs
@@ -59,7 +59,7 @@
 
     /// Records that the tenant has a fresh statement that waits for a connection. The connections are shared
     /// between the tenants that hold connections or have recently waited for one.
-    pub fn ask(&mut self, now: Timestamp, tenant: &TenantName, weight: u32) {
+    pub fn record_demand(&mut self, now: Timestamp, tenant: &TenantName, weight: u32) {
         self.holdings.record_demand(now, tenant, weight);
     }
 
@@ -204,19 +204,19 @@
     }
 
     /// Records that the database is leaving: no connection can be acquired or opened until
-    /// [`readmit`](Self::readmit). [`poll`](Self::poll) closes the idle connections; those in use are closed when
+    /// [`end_drain`](Self::end_drain). [`poll`](Self::poll) closes the idle connections; those in use are closed when
     /// they are released.
-    pub fn leave(&mut self) {
+    pub fn begin_drain(&mut self) {
         self.leaving = true;
     }
 
     /// Records that the database is no longer leaving.
-    pub fn readmit(&mut self) {
+    pub fn end_drain(&mut self) {
         self.leaving = false;
     }
 
     /// Closes the connections that are still in use. For the end of a drain.
-    pub fn close_held(&mut self) -> Vec<PoolAction> {
+    pub fn close_in_use(&mut self) -> Vec<PoolAction> {
         let states = self.connections.iter();
         let held: Vec<(ConnectionId, TenantName)> = states
             .filter_map(|(connection, state)| Some((*connection, state.holder()?.clone())))
--- a/crates/dyketally/src/retry/retrier.rs
+++ b/crates/dyketally/src/retry/retrier.rs
@@ -103,7 +103,7 @@
     }
 
     /// Records that a statement is about to be sent for the first time.
-    pub fn fresh(&mut self) {
+    pub fn record_fresh(&mut self) {
         self.counters.fresh += 1;
         self.budget.earn();
     }
--- a/crates/dyketally/src/slow_start/budget.rs
+++ b/crates/dyketally/src/slow_start/budget.rs
@@ -41,7 +41,7 @@
     /// A holder that keeps its interval sends, in any second, at most its part of the rate plus one batch of
     /// [`LARGEST_BATCH`] requests, so each holder costs the margin one batch. The result has the number of
     /// holders, up to [`MAX_HOLDERS`], that leaves the greatest total rate; of equal ones, the greatest.
-    pub fn of(rate: OperationRate, margin: Margin) -> Self {
+    pub fn for_rate(rate: OperationRate, margin: Margin) -> Self {
         let rate = rate.millionths_in(SECOND) as f64 / 1e6;
         let allowed = rate * margin.overrun + margin.slack;
         let total_rate = |holders: usize| {
--- a/crates/dyketally/src/slow_start/mod.rs
+++ b/crates/dyketally/src/slow_start/mod.rs
@@ -6,7 +6,7 @@
 //! so nodes need not exchange messages about it. The holders are derived from the list of nodes. When nodes
 //! join or leave, the nodes' lists differ for a while. A node therefore uses its part only once its own list
 //! has named it a holder for long enough ([`Tenure`]), and only while it receives changes of the list: a
-//! former holder that it replaces has stopped by then. [`Warmth`] says whether a database may be cold; a
+//! former holder that it replaces has stopped by then. [`ColdState`] says whether a database may be cold; a
 //! database whose state is unknown counts as cold.
 
 mod budget;
@@ -19,4 +19,4 @@
 pub use pacer::Pacer;
 pub use tenure::{TAKE_OVER_AFTER, Tenure};
 pub use throttle::{Pace, Throttle};
-pub use warmth::{RAMP, Warmth};
+pub use warmth::{ColdState, READ_RAMP_TIME};
--- a/crates/dyketally/src/slow_start/pacer.rs
+++ b/crates/dyketally/src/slow_start/pacer.rs
@@ -17,7 +17,7 @@
     }
 
     /// Records that a batch of `requests` is sent now; each request occupies one `interval`.
-    pub fn sent(&mut self, now: Timestamp, requests: u32, interval: Duration) {
+    pub fn record_sent(&mut self, now: Timestamp, requests: u32, interval: Duration) {
         let start = self.next.max(now);
         self.next = start + interval.saturating_mul(requests);
     }
--- a/crates/dyketally/src/slow_start/tenure.rs
+++ b/crates/dyketally/src/slow_start/tenure.rs
@@ -2,13 +2,14 @@
 
 use std::time::Duration;
 
-use crate::failover::STORE_HOLDS;
+use crate::failover::STORE_CONTACT_DURATION;
 use crate::time::Timestamp;
 
-/// How long a node's own list must have named it a holder before it sends. Within [`STORE_HOLDS`], a former
+/// How long a node's own list must have named it a holder before it sends. Within [`STORE_CONTACT_DURATION`], a former
 /// holder either receives the changed list or finds that it has lost contact with the store, and stops
 /// sending. The remaining 400 ms cover clocks whose rates differ by up to 5%.
-pub const TAKE_OVER_AFTER: Duration = STORE_HOLDS.saturating_add(Duration::from_millis(400));
+pub const TAKE_OVER_AFTER: Duration =
+    STORE_CONTACT_DURATION.saturating_add(Duration::from_millis(400));
 
 /// Since when a node has been a holder according to its own list of nodes.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/dyketally/src/slow_start/warmth.rs
+++ b/crates/dyketally/src/slow_start/warmth.rs
@@ -9,11 +9,11 @@
 const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(500);
 /// Time over which a database that has warmed up is given its full share of reads again. Without this ramp, every
 /// node would send it all of its reads at once, since its queue is still empty.
-pub const RAMP: Duration = Duration::from_secs(2);
+pub const READ_RAMP_TIME: Duration = Duration::from_secs(2);
 
 /// What is known of a database's last start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Warmth {
+pub struct ColdState {
     /// Until when the database is cold according to its announcements.
     cold_until: Timestamp,
     /// A restart without this node's knowledge that hasn't been ruled out.
@@ -40,11 +40,11 @@
     }
 }
 
-impl Warmth {
+impl ColdState {
     /// Records an announcement that the database is cold for `cold_for` from now. Announcements arrive with a
     /// delay, so the database is certainly warm after that time. The first announcement may be a leftover from
     /// before a restart, so the database may still be cold.
-    pub fn announced(&mut self, now: Timestamp, cold_for: Duration) {
+    pub fn record_announcement(&mut self, now: Timestamp, cold_for: Duration) {
         if !cold_for.is_zero() {
             self.cold_until = self.cold_until.max(now + cold_for);
         }
@@ -58,7 +58,7 @@
 
     /// Records that the database may restart at any time from now on: its connections broke, it is
     /// unreachable, or it no longer announces itself.
-    pub fn doubted(&mut self, now: Timestamp) {
+    pub fn record_possible_restart(&mut self, now: Timestamp) {
         self.possible_restart = Some(PossibleRestart {
             since: now,
             found_running: None,
@@ -66,7 +66,7 @@
     }
 
     /// Records that the database answered on a connection that was opened at `opened`.
-    pub fn answered(&mut self, now: Timestamp, opened: Timestamp) {
+    pub fn record_answer(&mut self, now: Timestamp, opened: Timestamp) {
         if self
             .possible_restart
             .is_some_and(|restart| opened < restart.since)
@@ -74,11 +74,11 @@
             // The connection has survived, so the database has been running without a restart.
             self.possible_restart = None;
         }
-        self.ran(now);
+        self.record_running(now);
     }
 
     /// Records that the database is running: it answered this node or another one.
-    pub fn ran(&mut self, now: Timestamp) {
+    pub fn record_running(&mut self, now: Timestamp) {
         if let Some(restart) = &mut self.possible_restart {
             restart.found_running.get_or_insert(now);
         }
@@ -86,7 +86,7 @@
 
     /// Drops a possible restart that is ruled out because its announcement would have arrived. The node knows the
     /// contents of the store as of `store_known_as_of`; `None` while it is out of contact with the store.
-    pub fn settle(&mut self, now: Timestamp, store_known_as_of: Option<Timestamp>) {
+    pub fn rule_out_restart(&mut self, now: Timestamp, store_known_as_of: Option<Timestamp>) {
         let possible_restart = self.possible_restart.zip(store_known_as_of);
         if possible_restart.is_some_and(|(restart, known_as_of)| restart.is_ruled_out(known_as_of))
         {
@@ -113,13 +113,13 @@
     }
 
     /// Fraction of its usual reads that the database should get: 0 while it may be cold, then rising linearly to 1
-    /// over [`RAMP`]. `cold_for` is the time for which it is cold after a start.
+    /// over [`READ_RAMP_TIME`]. `cold_for` is the time for which it is cold after a start.
     pub fn share(&self, now: Timestamp, cold_for: Duration) -> f64 {
         let until = self.cold_until(cold_for);
         if until == Timestamp::ZERO {
             return 1.0;
         }
         let warm_for = now.saturating_since(until);
-        (warm_for.as_secs_f64() / RAMP.as_secs_f64()).min(1.0)
+        (warm_for.as_secs_f64() / READ_RAMP_TIME.as_secs_f64()).min(1.0)
     }
 }
--- a/crates/dyketally/tests/admission.rs
+++ b/crates/dyketally/tests/admission.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dyketally::admission::{
-    FairQueue, RejectionReason, SAVED_SLOT_TIME, Stage, Submission, Ticket,
+    FairQueue, MAX_SLOT_TIME_CREDIT, RejectionReason, Stage, Submission, Ticket,
 };
 use dyketally::identifiers::TenantName;
 use dyketally::policy::Urgency;
--- a/crates/dyketally/tests/eligibility.rs
+++ b/crates/dyketally/tests/eligibility.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use dyketally::eligibility::{
-    Demand, Denial, EligibilityBounds, EvacuationChange, Evacuations, Intent, ServingRegions,
-    Standing, best_regions, judge, may_pass, preferred_region,
+    DatabaseCondition, Demand, Denial, EligibilityBounds, EvacuationChange, Evacuations, Intent,
+    ServingRegions, acceptable_regions, check_eligibility, may_pass_through, preferred_region,
 };
 use dyketally::identifiers::{DatabaseName, RegionName, ZoneName};
 use dyketally::time::Timestamp;
@@ -54,7 +54,7 @@
 
 fn eligibility_of(intent: &Intent, region: &RegionName, state: &State) -> Result<(), Denial> {
     let database = DatabaseName::from("orders-1");
-    let standing = Standing {
+    let standing = DatabaseCondition {
         database: &database,
         region,
         fenced: state.fenced,
@@ -62,7 +62,7 @@
         evacuated_for: state.evacuated_for,
         has_successor: state.has_successor,
     };
-    let permission = judge(intent, standing, BOUNDS)?;
+    let permission = check_eligibility(intent, standing, BOUNDS)?;
     assert!(permission.is_for(&database));
     Ok(())
 }
@@ -85,7 +85,7 @@
         has_successor: false,
         ..evacuated(1.8)
     };
-    let further = Intent::further(true);
+    let further = Intent::in_transaction(true);
     let cases: [(&str, Intent, State, Result<(), Denial>); 18] = [
         ("a read", read(), State::default(), Ok(())),
         ("a write", write(), State::default(), Ok(())),
@@ -257,7 +257,7 @@
                 expected,
                 "{name}"
             );
-            assert_eq!(may_pass(&regions, &here), allowed, "{name}");
+            assert_eq!(may_pass_through(&regions, &here), allowed, "{name}");
         }
     }
 }
@@ -351,12 +351,12 @@
         demand(only(&["south"]), 0.4),
     ];
     assert_eq!(
-        best_regions(&demands, &all),
+        acceptable_regions(&demands, &all),
         [region("north"), region("south")]
     );
-    assert_eq!(best_regions(&demands, &all[2..]), [region("west")]);
-    assert_eq!(best_regions(&[], &all), all);
-    assert_eq!(best_regions(&demands, &[]), []);
+    assert_eq!(acceptable_regions(&demands, &all[2..]), [region("west")]);
+    assert_eq!(acceptable_regions(&[], &all), all);
+    assert_eq!(acceptable_regions(&demands, &[]), []);
 }
 
 fn zones(names: &[&str]) -> BTreeSet<ZoneName> {
@@ -371,16 +371,16 @@
 fn an_evacuation_counts_from_its_first_request() {
     let mut evacuations = Evacuations::default();
     let east = ZoneName::from("east");
-    let began = evacuations.requested(at(1_000), east.clone());
+    let began = evacuations.record_request(at(1_000), east.clone());
     assert_eq!(began, Some(EvacuationChange::Began(east.clone())));
-    assert_eq!(evacuations.requested(at(2_000), east.clone()), None);
-    assert_eq!(evacuations.replaced(&zones(&["east"])), []);
+    assert_eq!(evacuations.record_request(at(2_000), east.clone()), None);
+    assert_eq!(evacuations.replace_all(&zones(&["east"])), []);
     assert_eq!(evacuations.evacuated_for(&east, at(3_000)), seconds(2.0));
-    let ended = evacuations.taken_back(&east);
+    let ended = evacuations.record_cancelled(&east);
     assert_eq!(ended, Some(EvacuationChange::Ended(east.clone())));
-    assert_eq!(evacuations.taken_back(&east), None);
+    assert_eq!(evacuations.record_cancelled(&east), None);
     assert_eq!(evacuations.evacuated_for(&east, at(3_000)), None);
-    evacuations.requested(at(9_000), east.clone());
+    evacuations.record_request(at(9_000), east.clone());
     assert_eq!(evacuations.evacuated_for(&east, at(9_500)), seconds(0.5));
 }
 
@@ -388,8 +388,8 @@
 fn an_evacuation_already_in_force_is_of_unknown_age() {
     let mut evacuations = Evacuations::default();
     let (east, west) = (ZoneName::from("east"), ZoneName::from("west"));
-    evacuations.requested(at(1_000), east.clone());
-    let changes = evacuations.replaced(&zones(&["west"]));
+    evacuations.record_request(at(1_000), east.clone());
+    let changes = evacuations.replace_all(&zones(&["west"]));
     let expected = [
         EvacuationChange::Ended(east),
         EvacuationChange::Began(west.clone()),
@@ -405,7 +405,7 @@
         has_successor: true,
         ..State::default()
     };
-    for intent in [read(), write(), Intent::further(true)] {
+    for intent in [read(), write(), Intent::in_transaction(true)] {
         assert_eq!(
             eligibility_of(&intent, &region("north"), &state),
             Err(Denial::Evacuated)
--- a/crates/dyketally/tests/eligibility_model.rs
+++ b/crates/dyketally/tests/eligibility_model.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use dyketally::eligibility::{
-    Demand, Denial, EligibilityBounds, Intent, ServingRegions, Standing, best_regions, judge,
-    preferred_region,
+    DatabaseCondition, Demand, Denial, EligibilityBounds, Intent, ServingRegions,
+    acceptable_regions, check_eligibility, preferred_region,
 };
 use dyketally::identifiers::{DatabaseName, RegionName};
 use proptest::collection::btree_set;
@@ -36,7 +36,7 @@
 
 fn eligibility_of(intent: &Intent, region: &RegionName, state: &State) -> Result<(), Denial> {
     let database = DatabaseName::from("orders-1");
-    let standing = Standing {
+    let standing = DatabaseCondition {
         database: &database,
         region,
         fenced: state.fenced,
@@ -44,7 +44,7 @@
         evacuated_for: state.evacuated_for,
         has_successor: state.has_successor,
     };
-    let permission = judge(intent, standing, BOUNDS)?;
+    let permission = check_eligibility(intent, standing, BOUNDS)?;
     assert!(permission.is_for(&database));
     Ok(())
 }
@@ -71,7 +71,7 @@
                 &regions(&self.route).and(&regions(&self.tenant)),
                 self.needs_leader,
             ),
-            false => Intent::further(self.needs_leader),
+            false => Intent::in_transaction(self.needs_leader),
         }
     }
 
@@ -212,7 +212,7 @@
         if let Some(to) = preferred_region(&demands, &all[from], &all) {
             prop_assert_eq!(preferred_region(&demands, &to, &all), None);
         }
-        for best in best_regions(&demands, &all) {
+        for best in acceptable_regions(&demands, &all) {
             prop_assert_eq!(preferred_region(&demands, &best, &all), None);
         }
     }
--- a/crates/dyketally/tests/failover.rs
+++ b/crates/dyketally/tests/failover.rs
@@ -2,8 +2,9 @@
 //! a primary.
 
 use dyketally::failover::{
-    Appointments, Candidate, Contact, Evidence, FenceId, FenceRound, FenceVerdict, Fences,
-    PollResult, StandingFence, Succession, TokenUse, Verdict, choose_successor, judge, keep_warm,
+    ActiveFence, Appointments, Candidate, Contact, Evidence, FenceId, FenceRound, FenceVerdict,
+    Fences, PollResult, Succession, TokenUse, Verdict, choose_successor, evaluate_poll,
+    retain_warm,
 };
 use dyketally::group::{LogPosition, Term};
 use dyketally::time::Timestamp;
@@ -15,7 +16,7 @@
     PollResult {
         nodes,
         evidence: evidence.to_vec(),
-        lease_runs: true,
+        lease_is_valid: true,
         ..PollResult::default()
     }
 }
@@ -35,7 +36,7 @@
     PollResult { complete: true, prolonged: true, ..poll(7, &[Silent, Silent]) }, Verdict::Lost)]
 #[case::the_only_node(PollResult { complete: true, ..poll(1, &[Refused]) }, Verdict::Lost)]
 #[case::the_lease_ended_and_others_reach_the_store(
-    PollResult { lease_runs: false, store_lost: 1, ..poll(3, &[Silent, Silent, Silent]) },
+    PollResult { lease_is_valid: false, store_lost: 1, ..poll(3, &[Silent, Silent, Silent]) },
     Verdict::Undecided)]
 #[case::the_lease_ended_and_no_node_reaches_the_store(
     PollResult { lease_runs: false, store_lost: 3, ..poll(3, &[Silent, Silent, Silent]) },
@@ -108,7 +109,7 @@
 fn fence(confirmed: usize) -> FenceRound {
     let mut round = FenceRound::new(at(0), 5);
     for _ in 0..confirmed {
-        round.confirmed(at(10));
+        round.record_confirmation(at(10));
     }
     round
 }
@@ -136,16 +137,16 @@
     #[case] verdict: FenceVerdict,
 ) {
     let mut round = fence(4);
-    round.published(at(200));
-    round.lapsed(lapsed);
+    round.record_published(at(200));
+    round.set_isolated(lapsed);
     assert_eq!(round.verdict(at(now)), verdict);
 }
 
 #[test]
 fn a_silent_former_holder_beside_another_silent_node_changes_nothing() {
     let mut round = fence(3);
-    round.published(at(200));
-    round.lapsed(1);
+    round.record_published(at(200));
+    round.set_isolated(1);
     assert_eq!(round.verdict(at(600)), FenceVerdict::Open);
 }
 
@@ -158,9 +159,9 @@
     #[case] now: u64,
     #[case] verdict: FenceVerdict,
 ) {
-    round.published(at(200));
-    round.lease_broken();
-    round.published(at(300));
+    round.record_published(at(200));
+    round.record_lease_broken();
+    round.record_published(at(300));
     assert_eq!(round.verdict(at(now)), verdict);
 }
 
@@ -176,20 +177,20 @@
     #[case] held: bool,
 ) {
     let mut contact = Contact::default();
-    contact.store_replied(at(100));
-    contact.granted(at(granted));
+    contact.record_store_reply(at(100));
+    contact.record_grant(at(granted));
     if let Some(majority) = majority {
-        contact.majority_replied(at(majority));
+        contact.record_majority_reply(at(majority));
     }
-    assert_eq!(contact.is_held(at(now)), held);
-    assert!(contact.is_long_held(at(now)));
+    assert_eq!(contact.is_in_contact(at(now)), held);
+    assert!(contact.long_is_valid(at(now)));
 }
 
 #[test]
 fn a_grant_alone_is_no_contact() {
     let mut contact = Contact::default();
-    contact.granted(at(100));
-    assert!(!contact.is_held(at(150)));
+    contact.record_grant(at(100));
+    assert!(!contact.is_in_contact(at(150)));
 }
 
 #[rstest]
@@ -210,25 +211,25 @@
 #[test]
 fn a_contested_fence_is_never_closed() {
     let mut round = fence(5);
-    round.contested();
+    round.record_contested();
     assert_eq!(round.verdict(at(10_000)), FenceVerdict::Contested);
 }
 
 #[test]
 fn a_node_that_returns_its_leases_relies_on_other_nodes_alone() {
     let mut contact = Contact::default();
-    contact.store_replied(at(10_000));
-    contact.granted(at(10_000));
-    assert!(contact.is_held(at(10_100)));
-    contact.store_given_up();
-    assert!(!contact.is_held(at(10_100)));
+    contact.record_store_reply(at(10_000));
+    contact.record_grant(at(10_000));
+    assert!(contact.is_in_contact(at(10_100)));
+    contact.discard_store_contact();
+    assert!(!contact.is_in_contact(at(10_100)));
     assert_eq!(contact.ask_nodes_at(None), Some(at(2_300)));
 }
 
 /// The fences of a node that set a fence for database "a" at 1,000 ms.
 fn fenced() -> Fences {
     let mut fences = Fences::default();
-    fences.put_up(at(1_000), "a".into(), ROUND);
+    fences.set(at(1_000), "a".into(), ROUND);
     fences
 }
 
@@ -246,12 +247,12 @@
 #[test]
 fn a_fence_is_in_force_until_it_is_cleared_or_expires() {
     let mut fences = fenced();
-    assert!(fences.holds(at(8_999), &"a".into()));
-    assert!(!fences.holds(at(9_000), &"a".into()));
-    assert!(!fences.holds(at(2_000), &"b".into()));
-    fences.lift(at(2_000), &"a".into());
-    assert!(!fences.holds(at(2_000), &"a".into()));
-    assert_eq!(fences.standing(at(2_000)), Vec::new());
+    assert!(fences.is_fenced(at(8_999), &"a".into()));
+    assert!(!fences.is_fenced(at(9_000), &"a".into()));
+    assert!(!fences.is_fenced(at(2_000), &"b".into()));
+    fences.clear(at(2_000), &"a".into());
+    assert!(!fences.is_fenced(at(2_000), &"a".into()));
+    assert_eq!(fences.active(at(2_000)), Vec::new());
 }
 
 #[rstest]
@@ -274,19 +275,19 @@
 #[case::sent_since(2_001, false)]
 fn an_answer_from_a_former_lead_is_recognised(#[case] sent: u64, #[case] is_former: bool) {
     let mut fences = fenced();
-    fences.lift(at(2_000), &"a".into());
-    assert_eq!(fences.led_anew_since(at(sent), &"a".into()), is_former);
-    assert!(!fences.led_anew_since(at(sent), &"b".into()));
+    fences.clear(at(2_000), &"a".into());
+    assert_eq!(fences.regained_lead_since(at(sent), &"a".into()), is_former);
+    assert!(!fences.regained_lead_since(at(sent), &"b".into()));
 }
 
 #[test]
 fn a_database_that_was_never_replaced_leads_without_a_break() {
     let mut fences = Fences::default();
-    fences.lift(at(2_000), &"a".into());
-    assert!(!fences.led_anew_since(at(1_000), &"a".into()));
+    fences.clear(at(2_000), &"a".into());
+    assert!(!fences.regained_lead_since(at(1_000), &"a".into()));
     let mut fences = fenced();
-    fences.lift_round(at(2_000), &"a".into(), ROUND);
-    assert!(!fences.led_anew_since(at(1_000), &"a".into()));
+    fences.clear_round(at(2_000), &"a".into(), ROUND);
+    assert!(!fences.regained_lead_since(at(1_000), &"a".into()));
 }
 
 /// A distant node sets a fence after a nearer one has cleared it, and reports it to the nearer one.
@@ -318,15 +319,15 @@
 fn reports_never_extend_a_fence() {
     let (mut one, mut other) = (fenced(), Fences::default());
     for time in (1_000..20_000).step_by(500) {
-        for fence in one.standing(at(time)) {
-            other.heard(at(time), fence);
+        for fence in one.active(at(time)) {
+            other.merge(at(time), fence);
         }
-        for fence in other.standing(at(time)) {
-            one.heard(at(time), fence);
+        for fence in other.active(at(time)) {
+            one.merge(at(time), fence);
         }
     }
-    assert!(!one.holds(at(9_000), &"a".into()));
-    assert!(!other.holds(at(9_000), &"a".into()));
+    assert!(!one.is_fenced(at(9_000), &"a".into()));
+    assert!(!other.is_fenced(at(9_000), &"a".into()));
 }
 
 #[rstest]
@@ -335,8 +336,8 @@
 #[case::a_greater_one(8, TokenUse::Use)]
 fn a_token_that_was_refused_is_not_used_again(#[case] token: u64, #[case] expected: TokenUse) {
     let mut appointments = Appointments::default();
-    appointments.appointing(&"orders".into(), &"a".into(), 7);
-    appointments.refused(7);
+    appointments.record_appointment(&"orders".into(), &"a".into(), 7);
+    appointments.record_refusal(7);
     assert_eq!(
         appointments.token_use(&"orders".into(), &"a".into(), token),
         expected
@@ -365,10 +366,10 @@
     let mut cold = candidate("cold", Some((1, 6)), true, 0);
     cold.cold = true;
     let mut both = vec![cold.clone(), candidate("warm", Some((1, 5)), true, 0)];
-    keep_warm(&mut both);
+    retain_warm(&mut both);
     assert_eq!(both.len(), 1);
     assert_eq!(both[0].name.as_str(), "warm");
     let mut alone = vec![cold];
-    keep_warm(&mut alone);
+    retain_warm(&mut alone);
     assert_eq!(alone.len(), 1);
 }
--- a/crates/dyketally/tests/failover_fuzz.rs
+++ b/crates/dyketally/tests/failover_fuzz.rs
@@ -86,7 +86,7 @@
         let token = self.holder.token;
         self.holder
             .appointments
-            .appointing(&group, &database, token);
+            .record_appointment(&group, &database, token);
         self.decisions += 1;
         self.pending.push(Appointment {
             token,
--- a/crates/dyketally/tests/fairness/main.rs
+++ b/crates/dyketally/tests/fairness/main.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use dyketally::admission::SAVED_SLOT_TIME;
+use dyketally::admission::MAX_SLOT_TIME_CREDIT;
 use dyketally::time::Timestamp;
 use proptest::prelude::*;
 use rstest::rstest;
--- a/crates/dyketally/tests/fence_fuzz/duty.rs
+++ b/crates/dyketally/tests/fence_fuzz/duty.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dyketally::failover::GRANTS_SETTLE;
+use dyketally::failover::NEW_COORDINATOR_GRANT_DELAY;
 use dyketally::time::Timestamp;
 use rand::Rng;
 
@@ -80,7 +80,7 @@
             self.duty.certain_until = now + DUTY_LEASE - DUTY_MARGIN;
             let node = &mut self.nodes[holder];
             if node.watches(self.step) || self.fault == Fault::RenewalsWithoutWatchCount {
-                node.contact.store_replied(now - DUTY_CONTACT_SHORTER);
+                node.contact.record_store_reply(now - DUTY_CONTACT_SHORTER);
             }
             node.fenced |= self.published && self.fault != Fault::FenceNotPublished;
         }
--- a/crates/dyketally/tests/fence_fuzz/node.rs
+++ b/crates/dyketally/tests/fence_fuzz/node.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dyketally::failover::{Contact, SHORT_HOLDS};
+use dyketally::failover::{Contact, SHORT_CONTACT_DURATION};
 use dyketally::time::Timestamp;
 
 use super::Fault;
@@ -90,8 +90,8 @@
     pub fn trusts_old_primary(&self, now: Timestamp, fault: Fault, rule: Rule) -> bool {
         let in_contact = match (fault, rule) {
             (Fault::NeverIsolated, _) => true,
-            (Fault::ShortContactNotNeeded, _) | (_, Rule::Long) => self.contact.is_long_held(now),
-            (_, Rule::Both) => self.contact.is_held(now),
+            (Fault::ShortContactNotNeeded, _) | (_, Rule::Long) => self.contact.long_is_valid(now),
+            (_, Rule::Both) => self.contact.is_in_contact(now),
         };
         self.reaches_primary && !self.fenced && in_contact
     }
--- a/crates/dyketally/tests/fence_fuzz/round.rs
+++ b/crates/dyketally/tests/fence_fuzz/round.rs
@@ -51,7 +51,7 @@
             self.request_confirmations(&mut round);
         }
         if round.answer_at.is_some_and(|at| at <= self.step) {
-            round.round.published(now);
+            round.round.record_published(now);
             round.published.get_or_insert(now);
         }
         let lease_is_valid =
@@ -95,7 +95,7 @@
         confirmed[owner] = true;
         self.nodes[owner].fenced = true;
         let mut round = FenceRound::new(now, self.nodes.len());
-        round.confirmed(now);
+        round.record_confirmation(now);
         Round {
             round,
             owner,
@@ -116,13 +116,13 @@
                 continue;
             }
             match self.nodes[index].reaches_primary {
-                true if self.fault != Fault::ConfirmedOnly => round.round.contested(),
+                true if self.fault != Fault::ConfirmedOnly => round.round.record_contested(),
                 reaches => {
                     let at = match self.fault {
                         Fault::QuorumBackdated => Timestamp::ZERO,
                         _ => now,
                     };
-                    round.round.confirmed(at);
+                    round.round.record_confirmation(at);
                     *confirmed = true;
                     confirmations += 1;
                     if confirmations * 2 >= self.nodes.len() {
--- a/crates/dyketally/tests/fence_fuzz/world.rs
+++ b/crates/dyketally/tests/fence_fuzz/world.rs
@@ -170,7 +170,7 @@
         let node = &self.nodes[index];
         let renews = self.step % RENEWAL_STEPS == node.renews_at && node.reaches_store;
         if renews && self.fault == Fault::OwnCallsOfFollowersCount {
-            self.nodes[index].contact.store_replied(now);
+            self.nodes[index].contact.record_store_reply(now);
         }
         if self.step % PING_STEPS == self.nodes[index].renews_at % PING_STEPS {
             self.nodes[index].ping = self.send_request(index, relay, PONG_STEPS);
@@ -192,7 +192,7 @@
             self.nodes[index].record_grant(now, grant.sent_at, report, self.fault);
         }
         if self.grants(index) {
-            self.nodes[index].contact.granted(now);
+            self.nodes[index].contact.record_grant(now);
         } else if self.step.is_multiple_of(GRANT_STEPS) && self.nodes[index].grant.is_none() {
             let node = &self.nodes[index];
             let relay = node.follows.filter(|_| !node.contact.is_grant_late(now));
@@ -226,7 +226,7 @@
         match self.rule {
             Rule::Long => {
                 let now = self.now(index);
-                self.nodes[index].contact.granted(now);
+                self.nodes[index].contact.record_grant(now);
             }
             Rule::Both => self.ask_for_grant(index),
         }
@@ -241,7 +241,7 @@
         let node = &mut self.nodes[index];
         let renews = self.step % RENEWAL_STEPS == node.renews_at && !is_holder;
         if renews && node.reaches_store {
-            if fault == Fault::NoCatchUp && !node.contact.is_long_held(now) {
+            if fault == Fault::NoCatchUp && !node.contact.long_is_valid(now) {
                 node.contact = Contact::default();
             }
             node.contact.store_replied(now);
@@ -261,7 +261,7 @@
         node.asked_nodes = Some(now);
         node.fenced |= fenced_at_peer && self.fault != Fault::FencesNotReported;
         if majority {
-            node.contact.majority_replied(now);
+            node.contact.record_majority_reply(now);
         }
     }
 
--- a/crates/dyketally/tests/fuzz/database_home/confirming.rs
+++ b/crates/dyketally/tests/fuzz/database_home/confirming.rs
@@ -33,9 +33,9 @@
     pub(super) fn lose_lines(&mut self, lost: Vec<crate::status_lines::LostLine>) {
         for line in lost {
             let member = member_name(line.member);
-            self.view.lost(&member);
+            self.view.forget_status(&member);
             for round in line.rounds {
-                self.confirmations.failed(round, &member);
+                self.confirmations.record_failure(round, &member);
             }
         }
     }
@@ -54,7 +54,7 @@
                 }
             }
         }
-        for resolved in self.confirmations.tick(now) {
+        for resolved in self.confirmations.take_resolved(now) {
             self.resolve(environment, resolved);
         }
     }
@@ -66,12 +66,12 @@
         };
         let reads = matches!(job.execute.operation, Operation::Lookup { .. });
         match resolved.verdict {
-            Verdict::Confirmed(seen) => {
+            ConfirmationResult::Confirmed(seen) => {
                 job.unconfirmed = false;
                 job.seen = Some(seen);
                 self.complete(environment, id);
             }
-            Verdict::Deposed { higher_term } if reads => {
+            ConfirmationResult::Deposed { higher_term } if reads => {
                 let term = higher_term;
                 self.finish(
                     environment,
@@ -82,7 +82,7 @@
                     },
                 );
             }
-            Verdict::Deposed { .. } | Verdict::NotConfirmed => {
+            ConfirmationResult::Deposed { .. } | ConfirmationResult::NotConfirmed => {
                 self.finish(environment, id, Completion::Unknown);
             }
         }
--- a/crates/dyketally/tests/fuzz/database_home/mod.rs
+++ b/crates/dyketally/tests/fuzz/database_home/mod.rs
@@ -13,8 +13,8 @@
 
 use dyketally::admission::{FairQueue, Stage, Submission};
 use dyketally::group::{
-    Confirmations, FinishedWrite, GroupView, LogPosition, MemberStatus, ProbePacing, Resolved,
-    Role, Term, Verdict,
+    ConfirmationResult, Confirmations, FinishedWrite, GroupView, LogPosition, MemberStatus,
+    ProbePacing, Resolved, Role, Term,
 };
 use dyketally::history::LookupAnswer;
 use dyketally::identifiers::DatabaseName;
@@ -214,7 +214,7 @@
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.ticket = Some(ticket);
                 }
-                self.pool.ask(now, &tenant_of(client), 1);
+                self.pool.record_demand(now, &tenant_of(client), 1);
             }
             Err(_) => {
                 return self.finish(environment, id, Completion::NotRun(NotRunReason::QueueFull));
@@ -226,7 +226,7 @@
     pub fn leave(&mut self, environment: &mut Environment) {
         if !environment.has(Switch::LeavingIgnored) {
             self.drain.notice(environment.now(self.place));
-            self.pool.leave();
+            self.pool.begin_drain();
         }
     }
 
@@ -272,7 +272,7 @@
         for job in overdue {
             self.finish(environment, job, Completion::Unknown);
         }
-        for action in self.pool.close_held() {
+        for action in self.pool.close_in_use() {
             self.act(environment, action);
         }
     }
--- a/crates/dyketally/tests/fuzz/database_home/resolver.rs
+++ b/crates/dyketally/tests/fuzz/database_home/resolver.rs
@@ -131,8 +131,8 @@
             Payload::Ran(Reply::Ledger(answer)) => attempt.ledger = Some(*answer),
             Payload::Ran(Reply::Status(status)) if attempt.ledger.is_some() => {
                 let write = FinishedWrite {
-                    sent_in: attempt.term,
-                    behind: *status,
+                    sent_in_term: attempt.term,
+                    status_after: *status,
                     mode: Confirmation::MajorityPosition,
                     deadline: attempt.since + ATTEMPT_TIMEOUT,
                 };
@@ -164,13 +164,13 @@
         if environment.has(Switch::BarUnconfirmed) && ledger == LedgerAnswer::Barred {
             return Some(Resolution::Barred);
         }
-        let verdict = attempt.confirmations.tick(now).pop()?.verdict;
+        let verdict = attempt.confirmations.take_resolved(now).pop()?.verdict;
         self.give_up_now(environment, now);
         match (verdict, ledger) {
-            (Verdict::Confirmed(seen), LedgerAnswer::Committed) => {
+            (ConfirmationResult::Confirmed(seen), LedgerAnswer::Committed) => {
                 Some(Resolution::Committed(seen))
             }
-            (Verdict::Confirmed(_), LedgerAnswer::Barred) => Some(Resolution::Barred),
+            (ConfirmationResult::Confirmed(_), LedgerAnswer::Barred) => Some(Resolution::Barred),
             _ => None,
         }
     }
@@ -180,14 +180,15 @@
     fn handle_round_answer(&mut self, answer: crate::status_lines::StatusAnswer) {
         if let Some(round) = answer.round {
             let member = member_name(answer.member);
-            self.confirmations.answered(round, &member, answer.status);
+            self.confirmations
+                .record_answer(round, &member, answer.status);
         }
     }
 
     fn fail_rounds(&mut self, lost: crate::status_lines::LostLine) {
         let member = member_name(lost.member);
         for round in lost.rounds {
-            self.confirmations.failed(round, &member);
+            self.confirmations.record_failure(round, &member);
         }
     }
 }
--- a/crates/dyketally/tests/gate.rs
+++ b/crates/dyketally/tests/gate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dyketally::admission::{Gate, InFlightLimit, Patience};
+use dyketally::admission::{Gate, InFlightLimit, QueueTimeouts};
 use dyketally::time::Timestamp;
 use rstest::rstest;
 
@@ -40,7 +40,7 @@
     limit.turned_away(at(0));
     assert_eq!(max_in_flight(&limit), 18);
     for _ in 0..500 {
-        limit.ran();
+        limit.record_answer();
     }
     assert_eq!(max_in_flight(&limit), 24);
 }
@@ -53,7 +53,7 @@
     limit.turned_away(at(10));
     assert_eq!(max_in_flight(&limit), 18);
     for refusal in 1..100 {
-        limit.turned_away(at(refusal * 100));
+        limit.record_rejection(at(refusal * 100));
     }
     assert_eq!(max_in_flight(&limit), 1);
 }
@@ -72,14 +72,14 @@
 /// A gate of a database with one slot, at which a statement ends every 10 ms while others wait.
 fn busy_gate() -> Gate {
     let mut gate = Gate::default();
-    gate.share_out(1, 1);
+    gate.set_share(1, 1);
     for _ in 0..3 {
-        gate.begins();
+        gate.record_begin();
     }
-    gate.waits(at(0), 2);
+    gate.record_waiting(at(0), 2);
     for ended in 1..20 {
-        gate.ended(at(ended * 10));
-        gate.begins();
+        gate.record_end(at(ended * 10));
+        gate.record_begin();
     }
     gate
 }
@@ -101,50 +101,50 @@
 #[test]
 fn a_statement_that_left_the_queue_is_no_longer_ahead() {
     let mut gate = busy_gate();
-    gate.waits_no_more(2);
+    gate.record_left_queue(2);
     assert_eq!(gate.expected_wait(2), Some(Duration::from_millis(10)));
 }
 
 #[test]
 fn times_without_waiters_are_not_measured() {
     let mut gate = busy_gate();
-    gate.waits_no_more(2);
-    gate.ended(at(200));
-    gate.begins();
-    gate.ended(at(60_000));
+    gate.record_left_queue(2);
+    gate.record_end(at(200));
+    gate.record_begin();
+    gate.record_end(at(60_000));
     assert_eq!(gate.expected_wait(2), Some(Duration::from_millis(10)));
 }
 
 #[test]
 fn a_full_gate_admits_again_when_something_ends() {
     let mut gate = Gate::default();
-    gate.share_out(1, 1);
+    gate.set_share(1, 1);
     for _ in 0..3 {
         assert!(gate.admits());
-        gate.begins();
+        gate.record_begin();
     }
     assert!(!gate.admits());
-    gate.ended(at(1));
+    gate.record_end(at(1));
     assert!(gate.admits());
 }
 
 #[test]
 fn the_time_until_an_answer_counts_as_lost_follows_from_usual_run_times() {
     let mut gate = Gate::default();
-    assert_eq!(gate.silence(), Duration::from_millis(200));
+    assert_eq!(gate.answer_lost_after(), Duration::from_millis(200));
     for _ in 0..50 {
-        gate.ran(Duration::from_millis(10));
+        gate.record_answer(Duration::from_millis(10));
     }
-    assert_eq!(gate.silence(), Duration::from_millis(60));
+    assert_eq!(gate.answer_lost_after(), Duration::from_millis(60));
     for _ in 0..50 {
-        gate.ran(Duration::from_millis(100));
+        gate.record_answer(Duration::from_millis(100));
     }
-    let silence = gate.silence();
+    let silence = gate.answer_lost_after();
     assert!(silence >= Duration::from_millis(99), "{silence:?}");
     for _ in 0..50 {
-        gate.ran(Duration::from_secs(5));
+        gate.record_answer(Duration::from_secs(5));
     }
-    assert_eq!(gate.silence(), Duration::from_millis(400));
+    assert_eq!(gate.answer_lost_after(), Duration::from_millis(400));
 }
 
 #[rstest]
@@ -160,7 +160,7 @@
         standing: Duration::from_millis(50),
     };
     let mut gate = Gate::default();
-    gate.waits(at(began), 2);
+    gate.record_waiting(at(began), 2);
     let expected = Duration::from_millis(expected_ms);
     assert_eq!(gate.patience(at(now), timeouts), expected);
 }
--- a/crates/dyketally/tests/group.rs
+++ b/crates/dyketally/tests/group.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use dyketally::group::{
-    Confirmations, FinishedWrite, GroupEvent, GroupView, LogPosition, MemberStatus, ProbePacing,
-    Role, Round, Term, Verdict,
+    ConfirmationResult, Confirmations, FinishedWrite, GroupEvent, GroupView, LogPosition,
+    MemberStatus, ProbePacing, Role, Round, Term,
 };
 use dyketally::identifiers::DatabaseName;
 use dyketally::policy::Confirmation::{self, MajorityPosition, MajorityTerm};
@@ -50,17 +50,20 @@
     Confirmations::new(name("a"), three(), ProbePacing::default())
 }
 
-fn write(behind: MemberStatus, mode: Confirmation) -> FinishedWrite {
+fn write(status_after: MemberStatus, mode: Confirmation) -> FinishedWrite {
     FinishedWrite {
-        sent_in: Term(2),
-        behind,
+        sent_in_term: Term(2),
+        status_after,
         mode,
         deadline: DEADLINE,
     }
 }
 
-fn verdicts(confirmations: &mut Confirmations<u32>, now: Timestamp) -> Vec<(u32, Verdict)> {
-    let resolved = confirmations.tick(now);
+fn verdicts(
+    confirmations: &mut Confirmations<u32>,
+    now: Timestamp,
+) -> Vec<(u32, ConfirmationResult)> {
+    let resolved = confirmations.take_resolved(now);
     resolved.into_iter().map(|r| (r.item, r.verdict)).collect()
 }
 
@@ -95,32 +98,32 @@
     let events = view.observe(at(6), &name("a"), leads(1, (1, 3)), at(3));
     assert_eq!(events, vec![]);
     assert_eq!(view.primary(), Some((name("a"), Term(2))));
-    let events = view.lost(&name("a"));
+    let events = view.forget_status(&name("a"));
     assert_eq!(events, vec![GroupEvent::PrimaryChanged { primary: None }]);
     assert_eq!(view.highest_term(), Term(2));
     assert_eq!(view.status(&name("a")), None);
 }
 
 #[rstest]
-#[case::holds(MajorityPosition, follows(2, (2, 10)), Some(Verdict::Confirmed(position(2, 10))))]
-#[case::past(MajorityPosition, follows(2, (2, 14)), Some(Verdict::Confirmed(position(2, 10))))]
+#[case::holds(MajorityPosition, follows(2, (2, 10)), Some(ConfirmationResult::Confirmed(position(2, 10))))]
+#[case::past(MajorityPosition, follows(2, (2, 14)), Some(ConfirmationResult::Confirmed(position(2, 10))))]
 #[case::behind(MajorityPosition, follows(2, (2, 9)), None)]
 #[case::longer_log_of_earlier_term(MajorityPosition, follows(2, (1, 30)), None)]
-#[case::behind_is_enough_for_term(MajorityTerm, follows(2, (2, 9)), Some(Verdict::Confirmed(position(2, 10))))]
+#[case::behind_is_enough_for_term(MajorityTerm, follows(2, (2, 9)), Some(ConfirmationResult::Confirmed(position(2, 10))))]
 #[case::voted_for_higher(MajorityPosition, follows(3, (2, 10)), None)]
 #[case::voted_for_higher_term_only(MajorityTerm, follows(3, (2, 10)), None)]
 #[case::restarted_empty(MajorityTerm, follows(0, (0, 0)), None)]
-#[case::higher_primary(MajorityPosition, leads(3, (3, 12)), Some(Verdict::Deposed { higher_term: Term(3) }))]
+#[case::higher_primary(MajorityPosition, leads(3, (3, 12)), Some(ConfirmationResult::Deposed { higher_term: Term(3) }))]
 fn one_answer_behind_a_write(
     #[case] mode: Confirmation,
     #[case] answer: MemberStatus,
-    #[case] expected: Option<Verdict>,
+    #[case] expected: Option<ConfirmationResult>,
 ) {
     let mut confirmations = confirmations();
     confirmations.write_finished(1, write(leads(2, (2, 10)), mode));
     let round = round(&mut confirmations, at(1));
     assert_eq!(round.members, [name("b"), name("c")]);
-    confirmations.answered(round.number, &name("b"), answer);
+    confirmations.record_answer(round.number, &name("b"), answer);
     let expected: Vec<_> = expected.into_iter().map(|verdict| (1, verdict)).collect();
     assert_eq!(verdicts(&mut confirmations, at(2)), expected);
 }
@@ -133,7 +136,7 @@
     let mut confirmations = confirmations();
     confirmations.write_finished(1, write(behind, MajorityPosition));
     let higher_term = behind.term;
-    let expected = vec![(1, Verdict::Deposed { higher_term })];
+    let expected = vec![(1, ConfirmationResult::Deposed { higher_term })];
     assert_eq!(verdicts(&mut confirmations, at(1)), expected);
     assert_eq!(confirmations.start_round(at(1)), None);
 }
@@ -143,11 +146,11 @@
     let mut confirmations = confirmations();
     confirmations.write_finished(1, write(leads(2, (1, 10)), MajorityPosition));
     let first = round(&mut confirmations, at(1));
-    confirmations.answered(first.number, &name("b"), follows(2, (1, 10)));
+    confirmations.record_answer(first.number, &name("b"), follows(2, (1, 10)));
     assert_eq!(verdicts(&mut confirmations, at(2)), vec![]);
     let second = round(&mut confirmations, at(3));
-    confirmations.answered(second.number, &name("b"), follows(2, (2, 11)));
-    let expected = vec![(1, Verdict::Confirmed(position(1, 10)))];
+    confirmations.record_answer(second.number, &name("b"), follows(2, (2, 11)));
+    let expected = vec![(1, ConfirmationResult::Confirmed(position(1, 10)))];
     assert_eq!(verdicts(&mut confirmations, at(4)), expected);
 }
 
@@ -157,12 +160,12 @@
     confirmations.write_finished(1, write(leads(2, (2, 10)), MajorityPosition));
     let early = round(&mut confirmations, at(1));
     confirmations.write_finished(2, write(leads(2, (2, 12)), MajorityPosition));
-    confirmations.answered(early.number, &name("b"), follows(2, (2, 20)));
-    let expected = vec![(1, Verdict::Confirmed(position(2, 10)))];
+    confirmations.record_answer(early.number, &name("b"), follows(2, (2, 20)));
+    let expected = vec![(1, ConfirmationResult::Confirmed(position(2, 10)))];
     assert_eq!(verdicts(&mut confirmations, at(2)), expected);
     let late = round(&mut confirmations, at(2));
-    confirmations.answered(late.number, &name("c"), follows(2, (2, 12)));
-    let expected = vec![(2, Verdict::Confirmed(position(2, 12)))];
+    confirmations.record_answer(late.number, &name("c"), follows(2, (2, 12)));
+    let expected = vec![(2, ConfirmationResult::Confirmed(position(2, 12)))];
     assert_eq!(verdicts(&mut confirmations, at(3)), expected);
 }
 
@@ -178,10 +181,10 @@
     let first = round(&mut confirmations, at(1));
     confirmations.write_finished(3, write(leads(2, (2, 13)), MajorityPosition));
     let second = round(&mut confirmations, at(1));
-    confirmations.answered(second.number, &name("b"), follows(2, (2, 13)));
+    confirmations.record_answer(second.number, &name("b"), follows(2, (2, 13)));
     assert_eq!(verdicts(&mut confirmations, at(2)).len(), 4);
-    confirmations.answered(first.number, &name("b"), follows(2, (2, 10)));
-    confirmations.answered(first.number, &name("b"), follows(3, (2, 10)));
+    confirmations.record_answer(first.number, &name("b"), follows(2, (2, 10)));
+    confirmations.record_answer(first.number, &name("b"), follows(3, (2, 10)));
     assert_eq!(verdicts(&mut confirmations, at(3)), vec![]);
     assert_eq!(confirmations.waiting(), 0);
 }
@@ -191,14 +194,14 @@
     let mut confirmations = confirmations();
     confirmations.write_finished(1, write(leads(2, (2, 10)), MajorityPosition));
     let first = round(&mut confirmations, at(1));
-    confirmations.answered(first.number, &name("b"), follows(2, (2, 8)));
+    confirmations.record_answer(first.number, &name("b"), follows(2, (2, 8)));
     assert_eq!(confirmations.start_round(at(1)), None, "paced");
     let wakeup = confirmations.next_wakeup(at(1));
     assert_eq!(wakeup, Some(at(1) + Duration::from_millis(1)));
     let second = round(&mut confirmations, at(2));
     assert_eq!(second.members, [name("b")], "c has not answered yet");
-    confirmations.failed(second.number, &name("b"));
-    let expected = vec![(1, Verdict::NotConfirmed)];
+    confirmations.record_failure(second.number, &name("b"));
+    let expected = vec![(1, ConfirmationResult::NotConfirmed)];
     assert_eq!(verdicts(&mut confirmations, DEADLINE), expected);
 }
 
@@ -212,7 +215,7 @@
         let round = round(&mut confirmations, at(1));
         let asks_silent = round.members.contains(&name("c"));
         assert_eq!(asks_silent, (item as usize) < bound);
-        confirmations.answered(round.number, &name("b"), follows(2, (2, offset)));
+        confirmations.record_answer(round.number, &name("b"), follows(2, (2, offset)));
         assert_eq!(verdicts(&mut confirmations, at(2)).len(), 1);
     }
 }
@@ -231,8 +234,8 @@
     let late = round(&mut confirmations, later);
     assert_eq!(late.members, three());
     let early = dyketally::group::RoundNumber(0);
-    confirmations.answered(early, &name("a"), leads(2, (2, 10)));
-    confirmations.answered(early, &name("b"), follows(2, (2, 10)));
+    confirmations.record_answer(early, &name("a"), leads(2, (2, 10)));
+    confirmations.record_answer(early, &name("b"), follows(2, (2, 10)));
     assert_eq!(verdicts(&mut confirmations, later), vec![], "forgotten");
 }
 
@@ -243,14 +246,14 @@
 #[case::others_moved_on(&[("a", leads(2, (2, 10))), ("b", follows(3, (2, 4))), ("c", follows(3, (2, 4)))], Some(Verdict::Deposed { higher_term: Term(3) }))]
 fn current_reads_need_the_primary_and_a_majority(
     #[case] answers: &[(&str, MemberStatus)],
-    #[case] expected: Option<Verdict>,
+    #[case] expected: Option<ConfirmationResult>,
 ) {
     let mut confirmations = confirmations();
     confirmations.read_arrived(7, Term(2), DEADLINE);
     let round = round(&mut confirmations, at(1));
     assert_eq!(round.members, three());
     for (member, answer) in answers {
-        confirmations.answered(round.number, &name(member), *answer);
+        confirmations.record_answer(round.number, &name(member), *answer);
     }
     let expected: Vec<_> = expected.into_iter().map(|verdict| (7, verdict)).collect();
     assert_eq!(verdicts(&mut confirmations, at(2)), expected);
@@ -263,9 +266,9 @@
     confirmations.set_members(five.clone());
     confirmations.write_finished(1, write(leads(2, (2, 10)), MajorityPosition));
     let round = round(&mut confirmations, at(1));
-    confirmations.answered(round.number, &name("b"), follows(2, (2, 10)));
+    confirmations.record_answer(round.number, &name("b"), follows(2, (2, 10)));
     confirmations.set_members(["a", "c", "d"].map(name));
     assert_eq!(verdicts(&mut confirmations, at(2)), vec![]);
-    confirmations.answered(round.number, &name("d"), follows(2, (2, 10)));
+    confirmations.record_answer(round.number, &name("d"), follows(2, (2, 10)));
     assert_eq!(verdicts(&mut confirmations, at(3)).len(), 1);
 }
--- a/crates/dyketally/tests/pool.rs
+++ b/crates/dyketally/tests/pool.rs
@@ -272,7 +272,7 @@
     let pinned = take(&mut pool, "a").expect("a connection is idle");
     pool.pin(pinned);
     let connecting = opened(&pool.poll(at(1), 10));
-    pool.leave();
+    pool.begin_drain();
     assert_eq!(take(&mut pool, "a"), None);
     let actions = pool.poll(at(2), 10);
     assert_eq!((actions.len(), opened(&actions).len()), (4, 0));
@@ -288,12 +288,12 @@
         pool.closed(connection);
     }
     let close = PoolAction::Close { connection: pinned };
-    assert_eq!(pool.close_held(), [close]);
+    assert_eq!(pool.close_in_use(), [close]);
     assert_eq!(pool.release(at(3), pinned, ReleaseCondition::Clean), None);
     assert_eq!(pool.status().counters.unexpected_reports, 1);
     pool.closed(pinned);
     assert!(pool.is_empty());
-    pool.readmit();
+    pool.end_drain();
     assert_eq!(opened(&pool.poll(at(4), 0)).len(), 5);
 }
 
--- a/crates/dyketally/tests/pool_model.rs
+++ b/crates/dyketally/tests/pool_model.rs
@@ -281,11 +281,11 @@
             Step::Others(others) => harness.others = others,
             Step::Leave => {
                 harness.leaving = true;
-                harness.pool.leave();
+                harness.pool.begin_drain();
             }
             Step::Readmit => {
                 harness.leaving = false;
-                harness.pool.readmit();
+                harness.pool.end_drain();
             }
         }
         harness
--- a/crates/dyketally/tests/queue_and_pool.rs
+++ b/crates/dyketally/tests/queue_and_pool.rs
@@ -139,7 +139,7 @@
         };
         let tenant = name(session.caller.tenant);
         if stage == Stage::Fresh {
-            self.pool.ask(at(self.now), &tenant, 1);
+            self.pool.record_demand(at(self.now), &tenant, 1);
         }
         let submission = Submission {
             tenant,
--- a/crates/dyketally/tests/retry.rs
+++ b/crates/dyketally/tests/retry.rs
@@ -110,7 +110,7 @@
         let mut random = StdRng::seed_from_u64(SEED);
         for is_fresh in fresh {
             if is_fresh {
-                retrier.fresh();
+                retrier.record_fresh();
             } else {
                 retrier.decide(NOW, &attempt(), &mut random);
             }
--- a/crates/dyketally/tests/slow_start.rs
+++ b/crates/dyketally/tests/slow_start.rs
@@ -52,7 +52,7 @@
         slack: 0.0,
     };
     for rate in [0, 2, 3, 7, 50] {
-        let budget = Budget::of(OperationRate::per_second(rate), margin);
+        let budget = Budget::for_rate(OperationRate::per_second(rate), margin);
         let most = budget.holders as f64 * (1.0 / budget.interval.as_secs_f64() + f64::from(BATCH));
         assert!(most <= f64::from(rate) || budget.interval > Duration::from_secs(600));
     }
@@ -63,10 +63,10 @@
     let mut throttle = Throttle::default();
     throttle.set_rule(None, MARGIN);
     throttle
-        .warmth()
-        .announced(seconds(1.0), Duration::from_secs(9));
-    throttle.warmth().doubted(seconds(1.0));
-    assert_eq!(throttle.pace(seconds(1.0), None), Pace::Free);
+        .cold_state()
+        .record_announcement(seconds(1.0), Duration::from_secs(9));
+    throttle.cold_state().record_possible_restart(seconds(1.0));
+    assert_eq!(throttle.pace(seconds(1.0), None), Pace::Unlimited);
 }
 
 #[test]
@@ -74,24 +74,24 @@
     let mut throttle = Throttle::default();
     throttle.set_rule(Some(rule(20, 15_000)), MARGIN);
     throttle
-        .warmth()
-        .announced(seconds(1.0), Duration::from_secs(15));
+        .cold_state()
+        .record_announcement(seconds(1.0), Duration::from_secs(15));
     assert_eq!(
         throttle.pace(seconds(1.0), Some(seconds(1.0))),
-        Pace::Elsewhere
+        Pace::NotHolder
     );
-    throttle.hold(seconds(1.0), true);
+    throttle.set_holder(seconds(1.0), true);
     assert_eq!(
         throttle.pace(seconds(4.0), Some(seconds(4.0))),
-        Pace::Unsettled
+        Pace::FormerMaySend
     );
     let settled = seconds(1.0) + TAKE_OVER_AFTER;
-    assert_eq!(throttle.pace(settled, None), Pace::Unsettled);
+    assert_eq!(throttle.pace(settled, None), Pace::FormerMaySend);
     assert_eq!(
         throttle.pace(settled, Some(settled)),
         Pace::After(Duration::ZERO)
     );
-    throttle.sent(settled, 3);
+    throttle.record_sent(settled, 3);
     assert_eq!(
         throttle.pace(settled, Some(settled)),
         Pace::After(Duration::from_millis(450))
@@ -103,15 +103,21 @@
 fn a_connection_that_lasted_shows_that_the_database_has_run_all_the_time() {
     let mut throttle = Throttle::default();
     throttle.set_rule(Some(rule(20, 15_000)), MARGIN);
-    throttle.warmth().announced(seconds(0.0), Duration::ZERO);
+    throttle
+        .cold_state()
+        .record_announcement(seconds(0.0), Duration::ZERO);
     assert_eq!(
         throttle.pace(seconds(10.0), Some(seconds(10.0))),
-        Pace::Free
+        Pace::Unlimited
     );
-    throttle.warmth().doubted(seconds(10.0));
-    throttle.warmth().answered(seconds(10.1), seconds(10.05));
+    throttle.cold_state().record_possible_restart(seconds(10.0));
+    throttle
+        .cold_state()
+        .record_answer(seconds(10.1), seconds(10.05));
     assert!(throttle.is_cold(seconds(10.2)));
-    throttle.warmth().answered(seconds(10.3), seconds(9.0));
+    throttle
+        .cold_state()
+        .record_answer(seconds(10.3), seconds(9.0));
     assert!(!throttle.is_cold(seconds(10.4)));
 }
 
@@ -119,13 +125,17 @@
 fn a_restart_that_is_not_announced_in_time_is_ruled_out() {
     let mut throttle = Throttle::default();
     throttle.set_rule(Some(rule(20, 15_000)), MARGIN);
-    throttle.warmth().announced(seconds(0.0), Duration::ZERO);
+    throttle
+        .cold_state()
+        .record_announcement(seconds(0.0), Duration::ZERO);
     assert_eq!(
         throttle.pace(seconds(10.0), Some(seconds(10.0))),
-        Pace::Free
+        Pace::Unlimited
     );
-    throttle.warmth().doubted(seconds(10.0));
-    throttle.warmth().answered(seconds(11.0), seconds(10.9));
+    throttle.cold_state().record_possible_restart(seconds(10.0));
+    throttle
+        .cold_state()
+        .record_answer(seconds(11.0), seconds(10.9));
     let just_before = Some(seconds(11.4));
     assert_eq!(throttle.pace(seconds(14.0), just_before), Pace::Elsewhere);
     assert_eq!(throttle.pace(seconds(14.0), None), Pace::Elsewhere);
@@ -139,10 +149,10 @@
     let mut throttle = Throttle::default();
     throttle.set_rule(Some(rule(20, 15_000)), MARGIN);
     throttle
-        .warmth()
-        .announced(seconds(0.0), Duration::from_secs(6));
+        .cold_state()
+        .record_announcement(seconds(0.0), Duration::from_secs(6));
     throttle.pace(seconds(5.0), Some(seconds(5.0)));
-    let shares = [5.0, 6.0, 7.0, 8.0].map(|at| throttle.share(seconds(at)));
+    let shares = [5.0, 6.0, 7.0, 8.0].map(|at| throttle.read_share(seconds(at)));
     assert_eq!(shares, [0.0, 0.0, 0.5, 1.0]);
 }
 
@@ -337,11 +347,11 @@
             match update {
                 StoreUpdate::Listed(listed) => {
                     let holds = holders(self.rule, &listed).contains(&node);
-                    throttle.hold(clock, holds);
+                    throttle.set_holder(clock, holds);
                 }
                 StoreUpdate::Started { cold_for_ms } => {
                     let cold_for = Duration::from_millis(cold_for_ms);
-                    throttle.warmth().announced(clock, cold_for);
+                    throttle.cold_state().record_announcement(clock, cold_for);
                 }
             }
         }
@@ -373,8 +383,8 @@
             // Requests to a warm database aren't counted; a few suffice to reach the moment at which it turns cold.
             Pace::Free => self.rng.random_bool(0.05),
             Pace::After(wait) => wait.is_zero() || self.without == Without::Pacing,
-            Pace::Elsewhere => self.without == Without::Holders && self.rng.random_bool(0.05),
-            Pace::Unsettled => {
+            Pace::NotHolder => self.without == Without::Holders && self.rng.random_bool(0.05),
+            Pace::FormerMaySend => {
                 let held = self.nodes[node].throttle;
                 self.without == Without::Tenure && held_pace_is_due(held, clock)
             }
@@ -383,10 +393,13 @@
             return;
         }
         let requests = self.rng.random_range(1..=BATCH);
-        self.nodes[node].throttle.sent(clock, requests);
+        self.nodes[node].throttle.record_sent(clock, requests);
         let opened = *self.nodes[node].opened.get_or_insert(now);
         let opened = self.clock(node, opened);
-        self.nodes[node].throttle.warmth().answered(clock, opened);
+        self.nodes[node]
+            .throttle
+            .cold_state()
+            .record_answer(clock, opened);
         if self.is_cold(now) {
             self.sent_cold += u64::from(requests);
             self.count(now, requests);
@@ -425,7 +438,7 @@
 
 /// The nodes that send to a cold database, by the list of nodes.
 fn holders(rule: SlowStart, listed: &[usize]) -> Vec<usize> {
-    let count = Budget::of(rule.rate, MARGIN).holders;
+    let count = Budget::for_rate(rule.rate, MARGIN).holders;
     listed.iter().copied().take(count).collect()
 }
 
@@ -433,7 +446,7 @@
 fn held_pace_is_due(throttle: Throttle, clock: Timestamp) -> bool {
     let mut later = throttle;
     let pace = later.pace(clock + TAKE_OVER_AFTER, Some(clock));
-    matches!(pace, Pace::After(wait) if wait.is_zero()) || pace == Pace::Free
+    matches!(pace, Pace::After(wait) if wait.is_zero()) || pace == Pace::Unlimited
 }
 
 const SEEDS: std::ops::Range<u64> = 0..40;
--- a/crates/dyketally/tests/slow_start_at_size.rs
+++ b/crates/dyketally/tests/slow_start_at_size.rs
@@ -50,7 +50,7 @@
         leaving: false,
         link: LinkClass::default(),
     });
-    let count = Budget::of(OperationRate::per_second(RATE), MARGIN).holders;
+    let count = Budget::for_rate(OperationRate::per_second(RATE), MARGIN).holders;
     let ranked = placement::rank(&name, &zone(database % ZONES), candidates, count);
     let index = |name: &NodeName| listed.iter().find(|(_, node, _)| node == name);
     let found = ranked.into_iter().filter_map(index);
@@ -67,7 +67,9 @@
         }),
         MARGIN,
     );
-    throttle.warmth().announced(Timestamp::ZERO, Duration::ZERO);
+    throttle
+        .cold_state()
+        .record_announcement(Timestamp::ZERO, Duration::ZERO);
     if cold {
         let at = Timestamp::from_millis(COLD_MS.start);
         throttle.warmth().announced(at, COLD_FOR);
@@ -106,7 +108,7 @@
             let throttle = throttles
                 .entry((database, *node))
                 .or_insert_with(|| throttle(true));
-            throttle.hold(Timestamp::ZERO, true);
+            throttle.set_holder(Timestamp::ZERO, true);
         }
     }
     let mut results = Results {
@@ -126,7 +128,7 @@
                     let throttle = throttles
                         .entry((database, *node))
                         .or_insert_with(|| throttle(true));
-                    throttle.hold(now, true);
+                    throttle.set_holder(now, true);
                 }
             }
         }
@@ -151,7 +153,7 @@
                     continue;
                 };
                 if throttle.pace(now, Some(now)) == Pace::After(Duration::ZERO) {
-                    throttle.sent(now, 1);
+                    throttle.record_sent(now, 1);
                     arrivals[database].push(now_ms);
                     results.granted[second] += 1;
                     break;
