--- a/crates/dyketally-gateway/src/database/connection/error.rs
+++ b/crates/dyketally-gateway/src/database/connection/error.rs
@@ -36,7 +36,7 @@
 /// The connection broke before all answers were complete.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("the connection broke: {reason}; the statement may have run")]
-pub struct BrokenConnection {
+pub struct Disconnected {
     /// Why the connection broke, such as the transport's error. Follows "the connection broke: " in the message.
     pub reason: String,
 }
@@ -51,7 +51,7 @@
 
     /// The error for an answer that is discarded because its database might no longer have been primary when the
     /// answer arrived.
-    pub fn primary_replaced() -> Self {
+    pub fn new_primary() -> Self {
         Self::new(
             "the answer was discarded, since another database may have become primary before it arrived",
         )
--- a/crates/dyketally-gateway/src/database/connection/mod.rs
+++ b/crates/dyketally-gateway/src/database/connection/mod.rs
@@ -88,9 +88,9 @@
     /// The connection broke, so that any of the steps may have run. Or an earlier command on the connection is still
     /// unanswered, for example because its caller stopped waiting; then nothing is sent, and the connection can't be
     /// used any more.
-    pub async fn run(&mut self, batch: &Batch) -> Result<Vec<Answer>, BrokenConnection> {
+    pub async fn run(&mut self, batch: &Batch) -> Result<Vec<Answer>, Disconnected> {
         if self.unanswered > 0 {
-            return Err(BrokenConnection::new(
+            return Err(Disconnected::new(
                 "it can't be used any more, since an earlier statement that was sent on it is still unanswered",
             ));
         }
@@ -116,7 +116,7 @@
         setup: Vec<DatabaseCommand>,
         steps: &[Step],
         prepared: &str,
-    ) -> Result<Vec<Answer>, BrokenConnection> {
+    ) -> Result<Vec<Answer>, Disconnected> {
         let setup_count = setup.len();
         let mut commands = setup;
         commands.extend(steps.iter().map(|step| step.command(prepared)));
@@ -131,7 +131,7 @@
         setup: Vec<DatabaseCommand>,
         steps: &[Step],
         prepared: &str,
-    ) -> Result<Vec<Answer>, BrokenConnection> {
+    ) -> Result<Vec<Answer>, Disconnected> {
         let mut answers = Vec::with_capacity(steps.len());
         let mut setup = Some(setup);
         for step in steps {
--- a/crates/dyketally/tests/admission.rs
+++ b/crates/dyketally/tests/admission.rs
@@ -150,7 +150,7 @@
         let late = late.count();
         busy * u32::try_from(late.abs_diff(count - late)).expect("few")
     };
-    let max_difference = SAVED_SLOT_TIME + busy;
+    let max_difference = MAX_SLOT_TIME_CREDIT + busy;
     assert!(
         (1..=100).all(|count| difference(count) <= max_difference),
         "{:?}",
--- a/crates/dyketally/tests/eligibility.rs
+++ b/crates/dyketally/tests/eligibility.rs
@@ -175,7 +175,7 @@
         ),
         (
             "a late read of a transaction in an evacuated zone",
-            Intent::further(false),
+            Intent::in_transaction(false),
             evacuated(2.5),
             Err(Denial::Evacuated),
         ),
--- a/crates/dyketally/tests/failover.rs
+++ b/crates/dyketally/tests/failover.rs
@@ -39,10 +39,10 @@
     PollResult { lease_is_valid: false, store_lost: 1, ..poll(3, &[Silent, Silent, Silent]) },
     Verdict::Undecided)]
 #[case::the_lease_ended_and_no_node_reaches_the_store(
-    PollResult { lease_runs: false, store_lost: 3, ..poll(3, &[Silent, Silent, Silent]) },
+    PollResult { lease_is_valid: false, store_lost: 3, ..poll(3, &[Silent, Silent, Silent]) },
     Verdict::Lost)]
 fn the_poll_decides_whether_a_primary_is_lost(#[case] poll: PollResult, #[case] verdict: Verdict) {
-    assert_eq!(judge(&poll), verdict);
+    assert_eq!(evaluate_poll(&poll), verdict);
 }
 
 fn candidate(name: &str, received: Option<(u64, u64)>, ready: bool, preference: u32) -> Candidate {
@@ -203,8 +203,8 @@
     #[case] due: u64,
 ) {
     let mut contact = Contact::default();
-    contact.store_replied(at(100));
-    contact.granted(at(granted));
+    contact.record_store_reply(at(100));
+    contact.record_grant(at(granted));
     assert_eq!(contact.ask_nodes_at(last_polled.map(at)), Some(at(due)));
 }
 
@@ -236,8 +236,8 @@
 const ROUND: FenceId = FenceId(7);
 const LATER_ROUND: FenceId = FenceId(8);
 
-fn reported(id: FenceId, age_ms: u64) -> StandingFence {
-    StandingFence {
+fn reported(id: FenceId, age_ms: u64) -> ActiveFence {
+    ActiveFence {
         database: "a".into(),
         id,
         age: std::time::Duration::from_millis(age_ms),
@@ -263,9 +263,9 @@
     #[case] holds: bool,
 ) {
     let mut fences = fenced();
-    fences.lift(at(2_000), &"a".into());
-    fences.heard(at(2_500), reported(LATER_ROUND, age_ms));
-    assert_eq!(fences.holds(at(2_500), &"a".into()), holds);
+    fences.clear(at(2_000), &"a".into());
+    fences.merge(at(2_500), reported(LATER_ROUND, age_ms));
+    assert_eq!(fences.is_fenced(at(2_500), &"a".into()), holds);
 }
 
 /// A statement sent before a replaced database became the primary again may be answered from its former lead.
@@ -299,10 +299,10 @@
     #[case] holds: bool,
 ) {
     let mut near = Fences::default();
-    near.put_up(at(1_000), "a".into(), ROUND);
-    near.lift_round(at(1_001), &"a".into(), ROUND);
-    near.heard(at(1_500), reported(id, 480));
-    assert_eq!(near.holds(at(1_500), &"a".into()), holds);
+    near.set(at(1_000), "a".into(), ROUND);
+    near.clear_round(at(1_001), &"a".into(), ROUND);
+    near.merge(at(1_500), reported(id, 480));
+    assert_eq!(near.is_fenced(at(1_500), &"a".into()), holds);
 }
 
 #[rstest]
@@ -310,9 +310,9 @@
 #[case::of_an_earlier_round(FenceId(6), true)]
 fn a_late_clear_leaves_later_rounds_in_force(#[case] cleared: FenceId, #[case] holds: bool) {
     let mut fences = fenced();
-    fences.lift_round(at(1_200), &"a".into(), cleared);
-    assert_eq!(fences.holds(at(1_200), &"a".into()), holds);
-    assert!(!fences.put_up(at(1_300), "a".into(), cleared));
+    fences.clear_round(at(1_200), &"a".into(), cleared);
+    assert_eq!(fences.is_fenced(at(1_200), &"a".into()), holds);
+    assert!(!fences.set(at(1_300), "a".into(), cleared));
 }
 
 #[test]
--- a/crates/dyketally/tests/fairness/main.rs
+++ b/crates/dyketally/tests/fairness/main.rs
@@ -129,7 +129,7 @@
         prop_assert_eq!(victim.waits.len(), victim.sent);
         // Slot time before the victim's turn: the running statements, one statement of each rival, and the credit that
         // each rival has saved up.
-        let before = contest.longest * (contest.slots + rivals) + SAVED_SLOT_TIME * rivals;
+        let before = contest.longest * (contest.slots + rivals) + MAX_SLOT_TIME_CREDIT * rivals;
         let bound = before / contest.slots + contest.longest;
         let longest = victim.waits.iter().max().copied().unwrap_or_default();
         prop_assert!(longest <= bound, "{:?} exceeds {:?}", longest, bound);
--- a/crates/dyketally/tests/fence_fuzz/duty.rs
+++ b/crates/dyketally/tests/fence_fuzz/duty.rs
@@ -48,7 +48,8 @@
         let now = self.now(index);
         self.duties(index).any(|duty| {
             let is_certain = now < duty.certain_until || self.fault == Fault::GrantsOutliveLease;
-            let settled = now >= duty.taken + GRANTS_SETTLE || duty.taken == Timestamp::ZERO;
+            let settled =
+                now >= duty.taken + NEW_COORDINATOR_GRANT_DELAY || duty.taken == Timestamp::ZERO;
             is_certain && (settled || self.fault == Fault::GrantsUnsettled)
         })
     }
--- a/crates/dyketally/tests/fence_fuzz/node.rs
+++ b/crates/dyketally/tests/fence_fuzz/node.rs
@@ -98,7 +98,7 @@
 
     /// The node's report of its contact; `may_grant` is true while the node may grant the short contact.
     pub fn contact_report(&self, now: Timestamp, may_grant: bool, fault: Fault) -> ContactReport {
-        let held = self.contact.is_long_held(now);
+        let held = self.contact.long_is_valid(now);
         let granted = match may_grant {
             true => Some(Duration::ZERO),
             false => self.contact.granted_age(now),
@@ -106,7 +106,7 @@
         ContactReport {
             store: self.contact.store_age(now).filter(|_| held),
             majority: self.contact.majority_age(now).filter(|_| held),
-            granted: granted.filter(|age| *age < SHORT_HOLDS),
+            granted: granted.filter(|age| *age < SHORT_CONTACT_DURATION),
             fenced: self.fenced && fault != Fault::RelayedFencesNotReported,
         }
     }
@@ -121,11 +121,12 @@
     ) {
         self.fenced |= report.fenced;
         if let Some(age) = report.store {
-            self.contact.store_replied(since(now, sent_at, age, fault));
+            self.contact
+                .record_store_reply(since(now, sent_at, age, fault));
         }
         if let Some(age) = report.majority {
             self.contact
-                .majority_replied(since(now, sent_at, age, fault));
+                .record_majority_reply(since(now, sent_at, age, fault));
         }
     }
 
@@ -139,7 +140,7 @@
     ) {
         self.fenced |= report.fenced && fault != Fault::GrantsWithoutFences;
         if let Some(age) = report.granted {
-            self.contact.granted(since(now, sent_at, age, fault));
+            self.contact.record_grant(since(now, sent_at, age, fault));
         }
     }
 }
--- a/crates/dyketally/tests/fence_fuzz/round.rs
+++ b/crates/dyketally/tests/fence_fuzz/round.rs
@@ -57,7 +57,7 @@
         let lease_is_valid =
             self.is_certain_holder(owner) || self.fault == Fault::ClosesWithoutLease;
         if !lease_is_valid {
-            round.round.lease_broken();
+            round.round.record_lease_broken();
         }
         match self.adjusted_verdict(&round) {
             // Without the lease the owner has no token to appoint a successor with.
--- a/crates/dyketally/tests/fence_fuzz/world.rs
+++ b/crates/dyketally/tests/fence_fuzz/world.rs
@@ -64,8 +64,8 @@
         let count = random.random_range(1..9);
         let mut contact = Contact::default();
         // A node has its knowledge of primaries from the store.
-        contact.store_replied(Timestamp::ZERO);
-        contact.granted(Timestamp::ZERO);
+        contact.record_store_reply(Timestamp::ZERO);
+        contact.record_grant(Timestamp::ZERO);
         // The first holder of the duty follows no relay.
         let mut relays = vec![0];
         let follows: Vec<Option<usize>> = (0..count)
@@ -244,7 +244,7 @@
             if fault == Fault::NoCatchUp && !node.contact.long_is_valid(now) {
                 node.contact = Contact::default();
             }
-            node.contact.store_replied(now);
+            node.contact.record_store_reply(now);
             node.fenced |= fenced_in_store;
         }
         let due = node.contact.ask_nodes_at(node.asked_nodes);
--- a/crates/dyketally/tests/fuzz/database_home/confirming.rs
+++ b/crates/dyketally/tests/fuzz/database_home/confirming.rs
@@ -14,7 +14,7 @@
             .observe(now, &member, answer.status, answer.requested_at);
         if let Some(round) = answer.round {
             let status = self.status_for_confirmation(environment, answer.status);
-            self.confirmations.answered(round, &member, status);
+            self.confirmations.record_answer(round, &member, status);
         }
         self.run_rounds(environment);
     }
@@ -50,7 +50,7 @@
                     member_of(&member),
                     Some(round.number),
                 ) {
-                    self.confirmations.failed(round.number, &member);
+                    self.confirmations.record_failure(round.number, &member);
                 }
             }
         }
@@ -114,12 +114,12 @@
         };
         let any_term = environment.has(Switch::AnyTermBehind) && status_after.role == Role::Primary;
         let write = FinishedWrite {
-            sent_in: if any_term {
+            sent_in_term: if any_term {
                 status_after.term
             } else {
                 job.sent_in
             },
-            behind: self.status_for_confirmation(environment, status_after),
+            status_after: self.status_for_confirmation(environment, status_after),
             mode,
             deadline: confirm_by,
         };
--- a/crates/dyketally/tests/fuzz/database_home/resolver.rs
+++ b/crates/dyketally/tests/fuzz/database_home/resolver.rs
@@ -156,7 +156,7 @@
                     .lines
                     .request_status(environment, now, index, number)
                 {
-                    attempt.confirmations.failed(round.number, &member);
+                    attempt.confirmations.record_failure(round.number, &member);
                 }
             }
         }
--- a/crates/dyketally/tests/gate.rs
+++ b/crates/dyketally/tests/gate.rs
@@ -29,15 +29,15 @@
     #[case] expected: u32,
 ) {
     let mut limit = InFlightLimit::default();
-    limit.share_out(slots, holders);
+    limit.set_share(slots, holders);
     assert_eq!(max_in_flight(&limit), expected);
 }
 
 #[test]
 fn rejections_lower_the_limit_and_answers_raise_it() {
     let mut limit = InFlightLimit::default();
-    limit.share_out(8, 1);
-    limit.turned_away(at(0));
+    limit.set_share(8, 1);
+    limit.record_rejection(at(0));
     assert_eq!(max_in_flight(&limit), 18);
     for _ in 0..500 {
         limit.record_answer();
@@ -48,9 +48,9 @@
 #[test]
 fn rejections_at_about_the_same_time_count_once_and_the_limit_stays_above_zero() {
     let mut limit = InFlightLimit::default();
-    limit.share_out(8, 1);
-    limit.turned_away(at(0));
-    limit.turned_away(at(10));
+    limit.set_share(8, 1);
+    limit.record_rejection(at(0));
+    limit.record_rejection(at(10));
     assert_eq!(max_in_flight(&limit), 18);
     for refusal in 1..100 {
         limit.record_rejection(at(refusal * 100));
@@ -61,11 +61,11 @@
 #[test]
 fn a_new_share_keeps_the_lowered_limit() {
     let mut limit = InFlightLimit::default();
-    limit.share_out(8, 1);
-    limit.turned_away(at(0));
-    limit.share_out(8, 2);
+    limit.set_share(8, 1);
+    limit.record_rejection(at(0));
+    limit.set_share(8, 2);
     assert_eq!(max_in_flight(&limit), 12);
-    limit.share_out(8, 1);
+    limit.set_share(8, 1);
     assert_eq!(max_in_flight(&limit), 12);
 }
 
@@ -155,28 +155,28 @@
     #[case] now: u64,
     #[case] expected_ms: u64,
 ) {
-    let timeouts = Patience {
+    let timeouts = QueueTimeouts {
         burst: Duration::from_millis(500),
         standing: Duration::from_millis(50),
     };
     let mut gate = Gate::default();
     gate.record_waiting(at(began), 2);
     let expected = Duration::from_millis(expected_ms);
-    assert_eq!(gate.patience(at(now), timeouts), expected);
+    assert_eq!(gate.queue_timeout(at(now), timeouts), expected);
 }
 
 #[test]
 fn a_queue_that_was_empty_has_the_burst_timeout_again() {
-    let timeouts = Patience {
+    let timeouts = QueueTimeouts {
         burst: Duration::from_millis(500),
         standing: Duration::from_millis(50),
     };
     let mut gate = Gate::default();
-    gate.waits(at(0), 2);
-    gate.waits(at(500), 1);
-    gate.waits_no_more(2);
-    assert_eq!(gate.patience(at(1_500), timeouts), timeouts.standing);
-    gate.waits_no_more(1);
-    gate.waits(at(1_600), 2);
-    assert_eq!(gate.patience(at(1_700), timeouts), timeouts.burst);
+    gate.record_waiting(at(0), 2);
+    gate.record_waiting(at(500), 1);
+    gate.record_left_queue(2);
+    assert_eq!(gate.queue_timeout(at(1_500), timeouts), timeouts.standing);
+    gate.record_left_queue(1);
+    gate.record_waiting(at(1_600), 2);
+    assert_eq!(gate.queue_timeout(at(1_700), timeouts), timeouts.burst);
 }
--- a/crates/dyketally/tests/group.rs
+++ b/crates/dyketally/tests/group.rs
@@ -240,10 +240,10 @@
 }
 
 #[rstest]
-#[case::confirmed(&[("a", leads(2, (2, 10))), ("b", follows(2, (2, 4)))], Some(Verdict::Confirmed(position(2, 10))))]
+#[case::confirmed(&[("a", leads(2, (2, 10))), ("b", follows(2, (2, 4)))], Some(ConfirmationResult::Confirmed(position(2, 10))))]
 #[case::primary_did_not_answer(&[("b", follows(2, (2, 10))), ("c", follows(2, (2, 10)))], None)]
-#[case::primary_stepped_down(&[("a", follows(2, (2, 10)))], Some(Verdict::Deposed { higher_term: Term(2) }))]
-#[case::others_moved_on(&[("a", leads(2, (2, 10))), ("b", follows(3, (2, 4))), ("c", follows(3, (2, 4)))], Some(Verdict::Deposed { higher_term: Term(3) }))]
+#[case::primary_stepped_down(&[("a", follows(2, (2, 10)))], Some(ConfirmationResult::Deposed { higher_term: Term(2) }))]
+#[case::others_moved_on(&[("a", leads(2, (2, 10))), ("b", follows(3, (2, 4))), ("c", follows(3, (2, 4)))], Some(ConfirmationResult::Deposed { higher_term: Term(3) }))]
 fn current_reads_need_the_primary_and_a_majority(
     #[case] answers: &[(&str, MemberStatus)],
     #[case] expected: Option<ConfirmationResult>,
--- a/crates/dyketally/tests/slow_start.rs
+++ b/crates/dyketally/tests/slow_start.rs
@@ -38,7 +38,7 @@
 #[case::twenty(20, 3)]
 #[case::many(200, 3)]
 fn holders_together_send_at_the_full_rate(#[case] rate: u32, #[case] holders: usize) {
-    let budget = Budget::of(OperationRate::per_second(rate), MARGIN);
+    let budget = Budget::for_rate(OperationRate::per_second(rate), MARGIN);
     assert_eq!(budget.holders, holders);
     let all = holders as f64 / budget.interval.as_secs_f64();
     let rate = f64::from(rate);
@@ -137,10 +137,10 @@
         .cold_state()
         .record_answer(seconds(11.0), seconds(10.9));
     let just_before = Some(seconds(11.4));
-    assert_eq!(throttle.pace(seconds(14.0), just_before), Pace::Elsewhere);
-    assert_eq!(throttle.pace(seconds(14.0), None), Pace::Elsewhere);
+    assert_eq!(throttle.pace(seconds(14.0), just_before), Pace::NotHolder);
+    assert_eq!(throttle.pace(seconds(14.0), None), Pace::NotHolder);
     let in_time = Some(seconds(11.5));
-    assert_eq!(throttle.pace(seconds(14.0), in_time), Pace::Free);
+    assert_eq!(throttle.pace(seconds(14.0), in_time), Pace::Unlimited);
 }
 
 /// The share of reads sent to a database that has warmed up at 6 s rises from 0 at 6 s to 1 at 8 s.
@@ -318,7 +318,10 @@
             self.nodes[node].opened = None;
             let clock = self.clock(node, now);
             if self.without != Without::PossibleRestart {
-                self.nodes[node].throttle.warmth().doubted(clock);
+                self.nodes[node]
+                    .throttle
+                    .cold_state()
+                    .record_possible_restart(clock);
             }
         }
     }
@@ -374,14 +377,17 @@
         };
         if now < self.down_until {
             if self.without != Without::PossibleRestart {
-                self.nodes[node].throttle.warmth().doubted(clock);
+                self.nodes[node]
+                    .throttle
+                    .cold_state()
+                    .record_possible_restart(clock);
             }
             return;
         }
         let pace = self.nodes[node].throttle.pace(clock, known_at);
         let may = match pace {
             // Requests to a warm database aren't counted; a few suffice to reach the moment at which it turns cold.
-            Pace::Free => self.rng.random_bool(0.05),
+            Pace::Unlimited => self.rng.random_bool(0.05),
             Pace::After(wait) => wait.is_zero() || self.without == Without::Pacing,
             Pace::NotHolder => self.without == Without::Holders && self.rng.random_bool(0.05),
             Pace::FormerMaySend => {
--- a/crates/dyketally/tests/slow_start_at_size.rs
+++ b/crates/dyketally/tests/slow_start_at_size.rs
@@ -72,7 +72,7 @@
         .record_announcement(Timestamp::ZERO, Duration::ZERO);
     if cold {
         let at = Timestamp::from_millis(COLD_MS.start);
-        throttle.warmth().announced(at, COLD_FOR);
+        throttle.cold_state().record_announcement(at, COLD_FOR);
     }
     throttle
 }
