--- a/crates/dyketally/tests/fuzz/callers.rs
+++ b/crates/dyketally/tests/fuzz/callers.rs
@@ -104,7 +104,7 @@
         (0..count).map(|_| entry(environment.unique())).collect()
     }
 
-    /// Takes the last write that was answered as not run, to send it not_run_write.
+    /// Takes the last write that was answered as not run, to send it again.
     pub fn take_not_run_write(&mut self) -> Option<CallKind> {
         self.not_run_write.take()
     }
--- a/crates/dyketally/tests/fuzz/database_home/resolving.rs
+++ b/crates/dyketally/tests/fuzz/database_home/resolving.rs
@@ -5,8 +5,7 @@
 
 impl DatabaseHome {
     /// Starts a resolver for a recorded write of unknown outcome. Returns false if the job isn't a recorded write that
-    /// was sent, has a resolver already, or is past its
-    /// deadline.
+    /// was sent, or if it has a resolver already or is past its deadline.
     pub(super) fn resolve_write(&mut self, environment: &mut Environment, id: JobId) -> bool {
         let now = environment.now(self.place);
         let Some(job) = self.jobs.get_mut(&id) else {
--- a/crates/dyketally/tests/fuzz/edge/request.rs
+++ b/crates/dyketally/tests/fuzz/edge/request.rs
@@ -39,7 +39,7 @@
     /// Number of statements that are done; more than one only in a transaction.
     pub(super) step: usize,
     pub(super) transaction_name: String,
-    /// The home's outstanding attempt: link to the home, request number on the link, member of the group.
+    /// The outstanding attempt: link to the home, request number on the link, member of the group.
     pub(super) awaited: Option<(ConnectionId, u64, usize)>,
     /// Whether an earlier attempt that may have changed data ended without an answer.
     pub(super) may_have_run: bool,
